--- a/rattanridge/admin/presets.py
+++ b/rattanridge/admin/presets.py
@@ -9,8 +9,8 @@
 import secrets
 import time
 
-from rattanridge.admin import objects, writing
-from rattanridge.kernel import codes, presets, reading
+from rattanridge.admin import objects, store_writes
+from rattanridge.kernel import codes, presets, untrusted_json
 from rattanridge.platform import configs, store as stores
 
 
@@ -43,10 +43,10 @@
     async def create(self, made: objects.Revision) -> objects.Revision:
         """Write a revision; the same content written by another is as good."""
         key = objects.revision_key(made.name, made.revision)
-        found = await writing.create(
+        found = await store_writes.create(
             self.store, objects.PRESETS, key, objects.encode(made)
         )
-        winner = reading.read_json(found.spec, objects.Revision)
+        winner = untrusted_json.decode_or_none(found.spec, objects.Revision)
         if winner is not None and winner.content == made.content:
             return winner
         who = winner.operator if winner is not None else "another writer"
@@ -57,7 +57,8 @@
         """Return all revisions of one preset, or of all, in order."""
         listing = await self.store.list(objects.PRESETS)
         found = [
-            reading.read_json(item.spec, objects.Revision) for item in listing.items
+            untrusted_json.decode_or_none(item.spec, objects.Revision)
+            for item in listing.items
         ]
         kept = [item for item in found if item is not None and item.content is not None]
         if name:
@@ -114,13 +115,13 @@
 
     async def reserve(self, chosen: objects.Choice) -> None:
         """Write the choice before it takes effect; of racing operators one may."""
-        found = await writing.create(
+        found = await store_writes.create(
             self.store,
             objects.CHOICES,
             objects.choice_key(chosen.generation),
             objects.encode(chosen),
         )
-        winner = reading.read_json(found.spec, objects.Choice)
+        winner = untrusted_json.decode_or_none(found.spec, objects.Choice)
         if winner != chosen:
             raise conflict(chosen.generation, winner)
 
@@ -128,13 +129,15 @@
         self,
         chosen: objects.Choice,
         wanted: objects.Revision,
-        current: stores.Stored | None,
+        current: stores.StoredObject | None,
     ) -> None:
         """Write the configuration; a choice that lost is taken out again."""
-        data = configs.encode(presets.configure(wanted.content, chosen.generation))
+        data = configs.encode(
+            presets.make_configuration(wanted.content, chosen.generation)
+        )
         revision = current.revision if current else 0
         try:
-            await writing.replace(
+            await store_writes.replace(
                 self.store, configs.KIND, configs.NAME, data, revision
             )
         except codes.Failure as failure:
@@ -153,7 +156,10 @@
     async def history(self) -> list[objects.Choice]:
         """Return the choices, the oldest first."""
         listing = await self.store.list(objects.CHOICES)
-        found = [reading.read_json(item.spec, objects.Choice) for item in listing.items]
+        found = [
+            untrusted_json.decode_or_none(item.spec, objects.Choice)
+            for item in listing.items
+        ]
         kept = [item for item in found if item is not None]
         return sorted(kept, key=lambda item: item.generation)
 
@@ -161,10 +167,14 @@
         """Return the choice that made a generation, if an operator made it here."""
         key = objects.choice_key(generation)
         stored = await self.store.get(objects.CHOICES, key)
-        return reading.read_json(stored.spec, objects.Choice) if stored else None
+        return (
+            untrusted_json.decode_or_none(stored.spec, objects.Choice)
+            if stored
+            else None
+        )
 
 
-def version_of(stored: stores.Stored | None) -> int:
+def version_of(stored: stores.StoredObject | None) -> int:
     """Return the version of the stored configuration; 0 if none can be read."""
     if stored is None:
         return 0
--- a/rattanridge/admin/rollouts.py
+++ b/rattanridge/admin/rollouts.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rattanridge.admin import server, writing
+from rattanridge.admin import server, store_writes
 from rattanridge.kernel import codes, settings
 from rattanridge.mesh import node as nodes, versions
 from rattanridge.platform import orders, store as stores
@@ -76,7 +76,7 @@
             raise running(known)
         order = orders.Order(service, asked.new, asked.deadline)
         try:
-            made = await writing.replace(
+            made = await store_writes.replace(
                 self.store,
                 orders.KIND,
                 service,
@@ -93,7 +93,7 @@
         """Refuse versions that are the same or have no endpoint."""
         if asked.old == asked.new:
             raise codes.Failure(codes.ROLLOUT_VERSIONS, "both versions are the same")
-        known = {item.version for item in self.node.directory.of(service)}
+        known = {item.version for item in self.node.directory.candidates_of(service)}
         for version in (asked.old, asked.new):
             if version and version not in known:
                 detail = f"no endpoint of {service} {version} is ready"
@@ -116,7 +116,7 @@
         """Return the newest rollout of a service."""
         return read(await self.find(service))
 
-    async def find(self, service: str) -> stores.Stored:
+    async def find(self, service: str) -> stores.StoredObject:
         """Return the object of a service's newest rollout."""
         stored = await self.store.get(orders.KIND, service)
         if stored is None:
@@ -147,12 +147,12 @@
         raise codes.Failure(codes.CONFLICT, f"{service} changes all the time")
 
 
-def cancelled(stored: stores.Stored, operator: str) -> orders.Status:
+def cancelled(stored: stores.StoredObject, operator: str) -> orders.Status:
     """Return the status that takes an order back for an operator."""
     status = status_of(orders.decode_order(stored.spec), stored)
     return dataclasses.replace(
         status,
-        state=orders.TAKEN_BACK,
+        state=orders.ROLLED_BACK,
         share=0.0,
         one_endpoint=False,
         turn=status.turn + 1,
@@ -160,13 +160,13 @@
     )
 
 
-def status_of(order: orders.Order, stored: stores.Stored) -> orders.Status:
+def status_of(order: orders.Order, stored: stores.StoredObject) -> orders.Status:
     """Return the status of a stored order; one without an answer is running."""
-    found = versions.answer_of(order, orders.decode_status(stored.status))
+    found = versions.current_status(order, orders.decode_status(stored.status))
     return found or orders.Status(orders.RUNNING, order.version)
 
 
-def read(stored: stores.Stored) -> Rollout:
+def read(stored: stores.StoredObject) -> Rollout:
     """Return an order with its status as operators see it."""
     order = orders.decode_order(stored.spec)
     status = status_of(order, stored)
--- a/rattanridge/admin/status.py
+++ b/rattanridge/admin/status.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rattanridge.admin import presets
-from rattanridge.kernel import codes, reading
+from rattanridge.kernel import codes, untrusted_json
 from rattanridge.mesh import configs, node as nodes
 
 AT_ONCE = 64  # nodes that are asked at the same time
@@ -111,7 +111,7 @@
 
         async def ask(name: str, address: str) -> tuple[str, configs.State | None]:
             async with limit:
-                data = await node.fetch(address, configs.STATE_PAGE)
+                data = await node.fetch(address, configs.STATE_PATH)
             return name, read_state(data)
 
         found = await asyncio.gather(
@@ -127,7 +127,9 @@
 
 def read_state(data: bytes | None) -> configs.State | None:
     """Decode a node's answer; None if it gave none."""
-    return reading.read_json(data, configs.State) if data is not None else None
+    return (
+        untrusted_json.decode_or_none(data, configs.State) if data is not None else None
+    )
 
 
 def add_nodes(report: Report, found: dict[str, configs.State | None]) -> None:
--- a/rattanridge/admin/writing.py
+++ b/rattanridge/admin/store_writes.py
@@ -13,14 +13,14 @@
 
 async def create(
     store: stores.Store, kind: str, name: str, spec: bytes
-) -> stores.Stored:
+) -> stores.StoredObject:
     """Create an object; return the one that the store holds then, whoever made it."""
     return await write(store, kind, name, spec, 0, lambda found: True)
 
 
 async def replace(
     store: stores.Store, kind: str, name: str, spec: bytes, revision: int
-) -> stores.Stored:
+) -> stores.StoredObject:
     """Write an object's spec if its revision is still the one given.
 
     :param revision: 0 if there must be none yet.
@@ -32,7 +32,7 @@
 
 async def write(
     store: stores.Store, kind: str, name: str, spec: bytes, revision: int, settles
-) -> stores.Stored:
+) -> stores.StoredObject:
     """Write until the store's answer, or what it holds, settles the matter.
 
     :param settles: whether an object found in the store is a good outcome.
@@ -45,7 +45,7 @@
             return await store.create(kind, name, spec)
         except codes.Failure as failure:
             lost = failure.code is codes.PLATFORM_CONFLICT
-            if not lost and failure.code not in stores.PASSING:
+            if not lost and failure.code not in stores.TRANSIENT_CODES:
                 raise
             found = await read_back(store, kind, name, failure)
             if found is not None and settles(found):
@@ -59,14 +59,14 @@
 
 async def read_back(
     store: stores.Store, kind: str, name: str, failure: codes.Failure
-) -> stores.Stored | None:
+) -> stores.StoredObject | None:
     """Return what the store holds; raise the write's failure if it can't tell."""
     if failure.code is codes.PLATFORM_BUSY:
         return None
     try:
         return await store.get(kind, name)
     except codes.Failure as error:
-        if error.code in stores.PASSING:
+        if error.code in stores.TRANSIENT_CODES:
             return None
         raise failure
 
--- a/rattanridge/cli/demo.py
+++ b/rattanridge/cli/demo.py
@@ -127,7 +127,7 @@
         """Let a bad version be taken back."""
         await self.add_version(version, 1.0)
         ended = await self.move(version, LONG_DEADLINE)
-        self.expect(ended.state == orders.TAKEN_BACK, f"{version} ended as {ended}")
+        self.expect(ended.state == orders.ROLLED_BACK, f"{version} ended as {ended}")
         await asyncio.sleep(SETTLE)
         before = self.count_runs(version)
         await asyncio.sleep(SETTLE)
@@ -232,7 +232,10 @@
             return
         name = codes.TABLE[int(number)].name
         self.tally.answers[name] += 1
-        if response.headers[headers.RAN] == codes.Ran.NOT_RUN and method == "POST":
+        if (
+            response.headers[headers.RAN] == codes.Execution.NOT_RUN
+            and method == "POST"
+        ):
             self.tally.not_run.add(key)
 
     async def watch(self) -> None:
--- a/rattanridge/daemon.py
+++ b/rattanridge/daemon.py
@@ -40,7 +40,7 @@
 
     :param path: the settings file.
     """
-    file = settings.File(path)
+    file = settings.SettingsFile(path)
     config = settings.load(path)
     node = nodes.Node(config, file, sinks.configure())
     signals = Signals()
--- a/rattanridge/kernel/clock.py
+++ b/rattanridge/kernel/clock.py
@@ -3,7 +3,7 @@
 import time
 
 
-def elapsed() -> float:
+def seconds_since_boot() -> float:
     """Return seconds since the host's start. The loop's clock stands still while the
     host is suspended; what other nodes may do meanwhile has to count."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/rattanridge/kernel/codes.py
+++ b/rattanridge/kernel/codes.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class Ran(enum.StrEnum):
+class Execution(enum.StrEnum):
     """What is known of the work that a request asked for.
 
     ``NOT_RUN`` is said only where it is proved.
@@ -67,7 +67,7 @@
         code: Code,
         detail: str = "",
         *,
-        ran: Ran = Ran.NOT_RUN,
+        ran: Execution = Execution.NOT_RUN,
         where: str = "",
         retry_after: float = 0.0,
     ):
--- a/rattanridge/kernel/packing.py
+++ b/rattanridge/kernel/compression.py
@@ -7,12 +7,12 @@
 LEVEL = 1  # the fastest; configurations repeat themselves enough for it
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return a document compressed."""
     return zlib.compress(data, LEVEL)
 
 
-def unpack(data: bytes, limit: int) -> bytes:
+def decompress(data: bytes, limit: int) -> bytes:
     """Return a document that was compressed.
 
     Raises ``bad-field`` if it is unreadable, cut, or longer than ``limit`` bytes.
--- a/rattanridge/kernel/documents.py
+++ b/rattanridge/kernel/documents.py
@@ -117,7 +117,7 @@
         seen.add(name)
 
 
-def point(failure: codes.Failure, text: str, where: str) -> codes.Failure:
+def add_line_number(failure: codes.Failure, text: str, where: str) -> codes.Failure:
     """Add the line to a failure whose place is ``where: path``."""
     path = failure.where.removeprefix(f"{where}: ")
     if path != failure.where:
--- a/rattanridge/kernel/presets.py
+++ b/rattanridge/kernel/presets.py
@@ -82,7 +82,7 @@
     try:
         check(preset, where)
     except codes.Failure as failure:
-        raise documents.point(failure, text, where)
+        raise documents.add_line_number(failure, text, where)
     return preset
 
 
@@ -116,7 +116,7 @@
         raise codes.Failure(codes.BAD_FIELD, detail, where=place)
 
 
-def configure(preset: Preset, version: int) -> routes.Configuration:
+def make_configuration(preset: Preset, version: int) -> routes.Configuration:
     """Return the configuration that puts a preset in force."""
     services = {
         name: routes.Service(name, item.health_path, item.connections)
@@ -125,7 +125,7 @@
     found = [
         make_route(f"r{index:05}", item) for index, item in enumerate(preset.routes)
     ]
-    return routes.Configuration(version, routes.index(found), services)
+    return routes.Configuration(version, routes.group_by_host(found), services)
 
 
 def make_route(name: str, item: Route) -> routes.Route:
--- a/rattanridge/kernel/routes.py
+++ b/rattanridge/kernel/routes.py
@@ -116,7 +116,7 @@
         return None
 
 
-def index(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
+def group_by_host(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
     """Group routes by host and order each group by falling prefix length."""
     groups: dict[str, list[Route]] = {}
     for route in routes:
--- a/rattanridge/kernel/settings.py
+++ b/rattanridge/kernel/settings.py
@@ -31,13 +31,13 @@
 def check_word(text: str, path: str, where: str) -> None:
     """Refuse a name that could not stand as one word in a log line."""
     if not text.isprintable() or " " in text:
-        refuse(where, path, f"{text!r} is not one word")
+        raise_bad_field(where, path, f"{text!r} is not one word")
 
 
 def check_address(address: str, path: str, where: str) -> None:
     """Refuse what is not an IP number with a port; an empty one is left out."""
     if address and not HOST_PORT.fullmatch(address):
-        refuse(where, path, f"{address!r} is not an IP number with a port")
+        raise_bad_field(where, path, f"{address!r} is not an IP number with a port")
 
 
 def check_tokens(tokens: list[Token], where: str) -> None:
@@ -46,11 +46,11 @@
     secrets: set[str] = set()
     for index, token in enumerate(tokens):
         if token.name in names or token.secret in secrets:
-            refuse(where, f"tokens[{index}]", "a name or secret stands twice")
+            raise_bad_field(where, f"tokens[{index}]", "a name or secret stands twice")
         names.add(token.name)
         secrets.add(token.secret)
 
 
-def refuse(where: str, path: str, detail: str) -> typing.NoReturn:
+def raise_bad_field(where: str, path: str, detail: str) -> typing.NoReturn:
     """Raise the failure of one field."""
     raise codes.Failure(codes.BAD_FIELD, detail, where=f"{where}: {path}")
--- a/rattanridge/kernel/sink.py
+++ b/rattanridge/kernel/sink.py
@@ -12,7 +12,7 @@
 REPORT_INTERVAL = 5.0  # seconds between two lines on what was held back
 
 
-class Gate:
+class RateLimiter:
     """Lets a number of lines of each kind of event pass in a second.
 
     :param rate: lines a second, and the most at once.
@@ -21,7 +21,7 @@
     def __init__(self, rate: float):
         self.rate = rate
         self.tokens: dict[str, tuple[float, float]] = {}
-        self.held_back: collections.Counter[str] = collections.Counter()
+        self.suppressed: collections.Counter[str] = collections.Counter()
 
     def allow(self, event: str, now: float) -> bool:
         """Whether one more line of an event may be written."""
@@ -29,7 +29,7 @@
         left = min(left + (now - at) * self.rate, self.rate)
         if left < 1.0:
             self.tokens[event] = (left, now)
-            self.held_back[event] += 1
+            self.suppressed[event] += 1
             return False
         self.tokens[event] = (left - 1.0, now)
         return True
--- a/rattanridge/kernel/reading.py
+++ b/rattanridge/kernel/untrusted_json.py
@@ -7,7 +7,7 @@
 T = typing.TypeVar("T")
 
 
-def read_json(data: bytes, kind: type[T]) -> T | None:
+def decode_or_none(data: bytes, kind: type[T]) -> T | None:
     """Decode JSON into a type; None if it is unreadable."""
     try:
         return msgspec.json.decode(data, type=kind)
--- a/rattanridge/measure/rollouts.py
+++ b/rattanridge/measure/rollouts.py
@@ -111,8 +111,8 @@
         self.scenario = scenario
         self.random = rng
         self.ramp = ramps.Ramp(deployment.duration)
-        self.old: evidence.Routes = {}
-        self.new: evidence.Routes = {}
+        self.old: evidence.CountsByRoute = {}
+        self.new: evidence.CountsByRoute = {}
         self.reached = 0
 
     def run(self) -> Outcome:
@@ -125,7 +125,7 @@
             self.serve(shares.pop(0))
             if evidence.find_fault(self.old, self.new):
                 break
-            self.ramp.look(self.deployment.endpoints, self.old, self.new)
+            self.ramp.advance(self.deployment.endpoints, self.old, self.new)
             if self.ramp.done():
                 in_time = self.ramp.elapsed <= self.deployment.duration
                 return Outcome(True, in_time, self.reached, total)
@@ -156,13 +156,18 @@
         return late and share >= self.scenario.load
 
     def add(
-        self, found: evidence.Routes, name: str, calls: int, work: float, errors: float
+        self,
+        found: evidence.CountsByRoute,
+        name: str,
+        calls: int,
+        work: float,
+        errors: float,
     ) -> None:
         """Count requests of one version."""
         counts = found.setdefault(name, evidence.Counts())
         for _ in range(calls):
             failed = self.random.random() < errors
-            counts.add(failed, work * math.exp(self.random.gauss(0.0, SPREAD)))
+            counts.record_call(failed, work * math.exp(self.random.gauss(0.0, SPREAD)))
 
     def draw(self, mean: float) -> int:
         """Draw the number of requests of one step."""
--- a/rattanridge/mesh/calls.py
+++ b/rattanridge/mesh/calls.py
@@ -71,7 +71,7 @@
     status: int
     headers: Headers
     body: bytes
-    ran: codes.Ran = codes.Ran.RAN
+    ran: codes.Execution = codes.Execution.RAN
     code: codes.Code | None = None
     detail: str = ""
     arrived: bool = False
@@ -83,10 +83,10 @@
     version: int = 0
 
 
-def refuse(failure: codes.Failure, arrived: bool = False) -> Answer:
+def refusal(failure: codes.Failure, arrived: bool = False) -> Answer:
     """Return the answer that tells a coded failure."""
     status = failure.code.status
-    if failure.ran is not codes.Ran.NOT_RUN and status in PROMISES:
+    if failure.ran is not codes.Execution.NOT_RUN and status in PROMISES:
         status = 502
     return Answer(
         status,
--- a/rattanridge/mesh/claim.py
+++ b/rattanridge/mesh/claim.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rattanridge.kernel import hashing, reading
+from rattanridge.kernel import hashing, untrusted_json
 from rattanridge.mesh import calls
 from rattanridge.web import headers
 
@@ -68,7 +68,7 @@
 
 def decode(data: bytes) -> Claim | None:
     """Decode a claim; None if it is unreadable."""
-    return reading.read_json(data, Claim)
+    return untrusted_json.decode_or_none(data, Claim)
 
 
 def record(answer: calls.Answer) -> Recorded | None:
--- a/rattanridge/mesh/claims.py
+++ b/rattanridge/mesh/claims.py
@@ -114,7 +114,9 @@
             try:
                 return await self.create(name, own)
             except codes.Failure as failure:
-                if failure.code not in stores.PASSING or not self.has_time(call):
+                if failure.code not in stores.TRANSIENT_CODES or not self.has_time(
+                    call
+                ):
                     self.begin(self.withdraw(name, own))
                     raise unchecked(failure)
             await asyncio.sleep(POLL)
@@ -158,13 +160,13 @@
         try:
             answer = await work()
         except codes.Failure as failure:
-            answer = calls.refuse(failure)
-        if answer.ran is codes.Ran.NOT_RUN:
+            answer = calls.refusal(failure)
+        if answer.ran is codes.Execution.NOT_RUN:
             self.begin(self.withdraw(name, own))
             return answer
         own.state = (
             claiming.State.DONE
-            if answer.ran is codes.Ran.RAN
+            if answer.ran is codes.Execution.RAN
             else claiming.State.UNKNOWN
         )
         own.answer = claiming.record(answer)
@@ -225,7 +227,11 @@
         self.log.note("claim-held", id=call.attempt, claim=name, state=found.state)
         if found.answer is not None:
             return claiming.replay(found.answer)
-        ran = codes.Ran.RAN if found.state is claiming.State.DONE else codes.Ran.UNKNOWN
+        ran = (
+            codes.Execution.RAN
+            if found.state is claiming.State.DONE
+            else codes.Execution.UNKNOWN
+        )
         raise codes.Failure(codes.ALREADY_ACCEPTED, ran=ran)
 
     async def remove(self, name: str, revision: int) -> None:
@@ -258,6 +264,6 @@
     return codes.Failure(
         codes.CLAIM_UNCHECKED,
         failure.code.name,
-        ran=codes.Ran.UNKNOWN,
+        ran=codes.Execution.UNKNOWN,
         retry_after=1.0,
     )
--- a/rattanridge/mesh/configs.py
+++ b/rattanridge/mesh/configs.py
@@ -5,13 +5,13 @@
 
 import msgspec
 
-from rattanridge.kernel import codes, packing, routes
+from rattanridge.kernel import codes, compression, routes
 from rattanridge.mesh import events, watching
 from rattanridge.platform import configs, store as stores
 
 HINT_WAIT = 1.2  # seconds that the watch has to tell what another node knows
-PAGE = "/configuration"
-STATE_PAGE = "/state"
+PATH = "/configuration"
+STATE_PATH = "/state"
 CONTENT_BYTES = 33_554_432  # of the largest configuration that another node may send
 
 Learn = collections.abc.Callable[[str], collections.abc.Awaitable[None]]
@@ -77,15 +77,15 @@
         All nodes that the store turns away may ask this one at once, over its one link.
         """
         if not self.packed_content:
-            self.packed_content = packing.pack(self.content)
+            self.packed_content = compression.compress(self.content)
         return self.packed_content
 
-    def take_all(self, items: list[stores.Stored]) -> None:
+    def take_all(self, items: list[stores.StoredObject]) -> None:
         """Take over what a list holds."""
         for item in items:
             self.take(item)
 
-    def take(self, item: stores.Stored) -> None:
+    def take(self, item: stores.StoredObject) -> None:
         """Take over a newer configuration; an unreadable one changes nothing."""
         if item.name != configs.NAME or item.deleted:
             return
@@ -119,7 +119,7 @@
         self.refused = ""
         self.meters.version.set(found.version)
 
-    def hint(self, version: int, address: str = "") -> None:
+    def record_peer_version(self, version: int, address: str = "") -> None:
         """Another node has this version in force: read it if it is a newer one.
 
         :param address: where that node can be asked, if it is known.
@@ -163,7 +163,7 @@
         """Read the configuration from the node that has a newer one."""
         if not self.informant:
             return
-        content = self.unpack(await self.fetch(self.informant, PAGE))
+        content = self.unpack(await self.fetch(self.informant, PATH))
         if content:
             await self.learn(self.informant)
             self.take_content(content, self.informant)
@@ -173,7 +173,7 @@
         if not data:
             return b""
         try:
-            return packing.unpack(data, CONTENT_BYTES)
+            return compression.decompress(data, CONTENT_BYTES)
         except codes.Failure as failure:
             self.log.note(
                 "configuration-not-read",
--- a/rattanridge/mesh/connections.py
+++ b/rattanridge/mesh/connections.py
@@ -56,15 +56,15 @@
         "done",
         "held",
         "idle_limit",
+        "idle_seconds",
         "matches",
         "parser",
         "received",
-        "rested",
         "stray",
         "used_at",
     )
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, held: memory.Held):
+    def __init__(self, loop: asyncio.AbstractEventLoop, held: memory.MemoryBudget):
         super().__init__(loop)
         self.held = held
         self.parser = None
@@ -74,7 +74,7 @@
         self.matches: Matches | None = None
         self.broken = ""
         self.stray = 0
-        self.rested = 0.0
+        self.idle_seconds = 0.0
         self.idle_limit = IDLE_DEFAULT
         self.used_at = loop.time()
 
@@ -85,15 +85,15 @@
     def data_received(self, data: bytes) -> None:
         if self.done is None:
             self.stray += 1
-            self.end("stray bytes")
+            self.abort("stray bytes")
             return
         try:
             messages, upgraded, _ = self.parser.feed_data(data)
         except Exception as error:
-            self.end(f"unreadable answer: {type(error).__name__}")
+            self.abort(f"unreadable answer: {type(error).__name__}")
             return
         if upgraded:
-            self.end("unasked upgrade")
+            self.abort("unasked upgrade")
             return
         for message, payload in messages:
             self.answers.append((message, payload))
@@ -101,13 +101,13 @@
         try:
             self.received.add(len(data), bodies)
         except codes.Failure as failure:
-            self.end(failure.detail or failure.code.name, failure)
+            self.abort(failure.detail or failure.code.name, failure)
             return
         self.check()
 
     def pause_reading(self) -> None:
         """The library's buffer is full: the answer is too large to be taken."""
-        self.end("answer too large")
+        self.abort("answer too large")
 
     def resume_reading(self, resume_parser: bool = True) -> None:
         """Nothing was paused; the library asks whenever its buffer is read."""
@@ -118,7 +118,7 @@
         try:
             self.deliver()
         except codes.Failure as failure:
-            self.end(failure.detail or failure.code.name, failure)
+            self.abort(failure.detail or failure.code.name, failure)
 
     def deliver(self) -> None:
         """Deliver the first whole answer that belongs to the request.
@@ -166,7 +166,7 @@
         if self.done is not None and not self.done.done():
             self.done.set_exception(failure or receiving.failed(self.broken))
 
-    def end(self, why: str, failure: codes.Failure | None = None) -> None:
+    def abort(self, why: str, failure: codes.Failure | None = None) -> None:
         """Break the connection off."""
         self.fail(why, failure)
         if self.transport is not None:
@@ -198,7 +198,7 @@
         try:
             response = await self.done
         except asyncio.CancelledError:
-            self.end("given up")
+            self.abort("given up")
             raise
         finally:
             self.used_at = self._loop.time()
@@ -210,7 +210,7 @@
             self.answers.clear()
             self.received.release()
         if response.closing or followed:
-            self.end("closed after an answer")
+            self.abort("closed after an answer")
         return response
 
 
@@ -249,7 +249,7 @@
     :param held: counts the bytes of bodies that the node holds.
     """
 
-    def __init__(self, held: memory.Held) -> None:
+    def __init__(self, held: memory.MemoryBudget) -> None:
         self.held = held
         self.loop = asyncio.get_running_loop()
         self.idle: dict[str, list[Connection]] = {}
@@ -269,9 +269,9 @@
         while kept and now - kept[-1].used_at <= longest_rest:
             connection = kept.pop()
             if self.usable(connection, now):
-                connection.rested = now - connection.used_at
+                connection.idle_seconds = now - connection.used_at
                 return connection
-            connection.end("not used for too long")
+            connection.abort("not used for too long")
         return await self.connect(address, min(timeout, CONNECT_TIMEOUT))
 
     def usable(self, connection: Connection, now: float) -> bool:
@@ -303,20 +303,20 @@
         if not connection.open() or connection.transport.is_closing():
             return
         connection.idle_limit = parse_idle_limit(response) or IDLE_DEFAULT
-        self.keep(address, connection)
+        self.add_idle(address, connection)
 
-    def keep(self, address: str, connection: Connection) -> None:
+    def add_idle(self, address: str, connection: Connection) -> None:
         """Keep a connection that has nothing to wait for."""
         self.idle.setdefault(address, []).append(connection)
 
-    def sweep(self) -> None:
+    def expire_idle(self) -> None:
         """Close connections that were not used for too long."""
         now = self.loop.time()
         for address, kept in list(self.idle.items()):
             usable = [item for item in kept if self.usable(item, now)]
             for item in kept:
                 if item not in usable:
-                    item.end("not used for too long")
+                    item.abort("not used for too long")
             if usable:
                 self.idle[address] = usable
             else:
@@ -325,7 +325,7 @@
     def drop(self, address: str) -> None:
         """Close the unused connections to an address."""
         for item in self.idle.pop(address, ()):
-            item.end("dropped")
+            item.abort("dropped")
 
     def close(self) -> None:
         """Close all unused connections."""
--- a/rattanridge/mesh/coordinator.py
+++ b/rattanridge/mesh/coordinator.py
@@ -13,7 +13,7 @@
 from rattanridge.mesh import (
     directory as directories,
     events,
-    judging,
+    monitoring,
     peers as forwarders,
     settings,
     versions as versioning,
@@ -42,12 +42,12 @@
             self.ramp.began = status.began
             self.ramp.step_at = status.elapsed
             self.began_at = min(rollout.seen_at, rollout.changed_at - status.elapsed)
-        self.base: dict[str, evidence.Routes] = {}
-        self.old: evidence.Routes = {}
-        self.new: evidence.Routes = {}
-        self.found: dict[str, judging.Report] = {}
+        self.base: dict[str, evidence.CountsByRoute] = {}
+        self.old: evidence.CountsByRoute = {}
+        self.new: evidence.CountsByRoute = {}
+        self.found: dict[str, monitoring.Report] = {}
 
-    def take(self, report: judging.Report) -> None:
+    def take(self, report: monitoring.Report) -> None:
         """Take one exit's evidence; the old version's counts begin now."""
         self.found[report.endpoint] = report
         if report.version != self.order.version:
@@ -79,7 +79,7 @@
         health: watching.Health,
         versions: versioning.Versions,
         directory: directories.Directory,
-        peers: forwarders.Peers,
+        peers: forwarders.PeerClient,
         log: events.Events,
     ):
         self.config = config
@@ -150,20 +150,20 @@
 
     async def gather(self, case: Case) -> None:
         """Ask all exits of the service for their evidence."""
-        found = self.directory.of(case.order.service)
+        found = self.directory.candidates_of(case.order.service)
         reports = await asyncio.gather(*(self.ask(item.hop) for item in found))
         for report in reports:
             if report is not None and report.service == case.order.service:
                 case.take(report)
         case.sum_up()
 
-    async def ask(self, address: str) -> judging.Report | None:
+    async def ask(self, address: str) -> monitoring.Report | None:
         """Return one exit's evidence; None if it does not answer."""
-        data = await self.peers.fetch(address, "GET", judging.PAGE)
+        data = await self.peers.fetch(address, "GET", monitoring.REPORT_PATH)
         if data is None:
             self.log.note("evidence-missing", node=address)
             return None
-        return judging.decode(data)
+        return monitoring.decode(data)
 
     async def decide(self, rollout: versioning.Rollout, case: Case) -> None:
         """Take back, go on, or complete."""
@@ -171,29 +171,29 @@
         fault = evidence.find_fault(case.old, case.new)
         if fault:
             await self.brake(case)
-            await self.write(rollout, case, orders.TAKEN_BACK, fault)
+            await self.write(rollout, case, orders.ROLLED_BACK, fault)
             return
         endpoints = self.count_new(case)
-        before = (ramp.step, ramp.began, ramp.has_room())
-        ramp.room = self.room(case)
-        ramp.look(endpoints, case.old, case.new)
+        before = (ramp.step, ramp.began, ramp.has_capacity())
+        ramp.capacity_ratio = self.room(case)
+        ramp.advance(endpoints, case.old, case.new)
         if ramp.done():
             await self.write(rollout, case, orders.COMPLETED, "in time")
         elif ramp.out_of_time():
-            why = "not proved in time" if ramp.has_room() else "too few endpoints"
+            why = "not proved in time" if ramp.has_capacity() else "too few endpoints"
             await self.brake(case)
-            await self.write(rollout, case, orders.TAKEN_BACK, why)
+            await self.write(rollout, case, orders.ROLLED_BACK, why)
         elif self.is_news(ramp, before) or self.is_stale(rollout):
             await self.write(rollout, case, orders.RUNNING, "")
 
     def is_news(self, ramp: ramps.Ramp, before: tuple[int, float, bool]) -> bool:
         """Whether the share changed since the last look."""
-        return before != (ramp.step, ramp.began, ramp.has_room())
+        return before != (ramp.step, ramp.began, ramp.has_capacity())
 
     def room(self, case: Case) -> float:
         """Return the new version's slots over the old one's."""
         slots = {True: 0, False: 0}
-        for item in self.directory.of(case.order.service):
+        for item in self.directory.candidates_of(case.order.service):
             if not item.lost:
                 slots[item.version == case.order.version] += item.slots
         return slots[True] / slots[False] if slots[False] else float("inf")
@@ -202,7 +202,7 @@
         """Return the number of endpoints of the new version."""
         return sum(
             item.version == case.order.version
-            for item in self.directory.of(case.order.service)
+            for item in self.directory.candidates_of(case.order.service)
         )
 
     def is_stale(self, rollout: versioning.Rollout) -> bool:
@@ -214,8 +214,8 @@
 
     async def brake(self, case: Case) -> None:
         """Tell the exits of the new version at once, without the store."""
-        path = f"{judging.BRAKE_PAGE}/{case.order.version}"
-        found = self.directory.of(case.order.service)
+        path = f"{monitoring.BRAKE_PATH}/{case.order.version}"
+        found = self.directory.candidates_of(case.order.service)
         await asyncio.gather(
             *(
                 self.peers.fetch(item.hop, "POST", path)
@@ -230,7 +230,7 @@
         """Write the status, if nobody else has written since."""
         ramp = case.ramp
         endpoints = self.count_new(case)
-        share = {orders.COMPLETED: 1.0, orders.TAKEN_BACK: 0.0}.get(
+        share = {orders.COMPLETED: 1.0, orders.ROLLED_BACK: 0.0}.get(
             state, ramp.share(endpoints)
         )
         status = orders.Status(
--- a/rattanridge/mesh/directory.py
+++ b/rattanridge/mesh/directory.py
@@ -7,7 +7,7 @@
 from rattanridge.platform import store as stores
 from rattanridge.policies import placement
 
-PAGE = "/records"
+PATH = "/records"
 
 
 class Page(msgspec.Struct):
@@ -33,7 +33,7 @@
         self.candidates: dict[str, placement.Candidate] = {}
         self.services: dict[str, list[placement.Candidate]] = {}
 
-    def take_all(self, items: list[stores.Stored]) -> None:
+    def take_all(self, items: list[stores.StoredObject]) -> None:
         """Take over a whole list; what is not in it is gone."""
         names = {item.name for item in items}
         for name in [name for name in self.records if name not in names]:
@@ -41,7 +41,7 @@
         for item in items:
             self.take(item)
 
-    def page(self) -> bytes:
+    def encode_records(self) -> bytes:
         """Return all records for another node."""
         known = {
             name: (record, self.revisions[name])
@@ -57,10 +57,10 @@
             self.log.note("record-unreadable", name="page", why=str(error))
             return False
         for name, (record, revision) in page.records.items():
-            self.take(stores.Stored(name, revision, records.encode(record)))
+            self.take(stores.StoredObject(name, revision, records.encode(record)))
         return True
 
-    def take(self, item: stores.Stored) -> None:
+    def take(self, item: stores.StoredObject) -> None:
         """Take one record; an older one than the known one is ignored."""
         if item.revision < self.revisions.get(item.name, 0):
             return
@@ -121,7 +121,7 @@
         )
         self.candidates[name] = made
         # A new list each time: whoever holds the old one goes on with it.
-        self.services[record.service] = [*self.of(record.service), made]
+        self.services[record.service] = [*self.candidates_of(record.service), made]
 
     def is_superseded(self, name: str, record: records.Record) -> bool:
         """Whether a newer record names the same address; drop those it replaces.
@@ -143,7 +143,9 @@
         """Forget a candidate."""
         known = self.candidates.pop(name, None)
         if known is not None:
-            rest = [item for item in self.of(known.service) if item is not known]
+            rest = [
+                item for item in self.candidates_of(known.service) if item is not known
+            ]
             self.services[known.service] = rest
 
     def remove(self, name: str) -> None:
@@ -161,6 +163,6 @@
             if record.state == records.READY
         ]
 
-    def of(self, service: str) -> list[placement.Candidate]:
+    def candidates_of(self, service: str) -> list[placement.Candidate]:
         """Return the candidates of a service."""
         return self.services.get(service, [])
--- a/rattanridge/mesh/attempts.py
+++ b/rattanridge/mesh/dispatcher.py
@@ -13,7 +13,7 @@
     peers as forwarders,
     settings,
 )
-from rattanridge.policies import placement, queueing, repeats
+from rattanridge.policies import placement, queueing, retry_budget
 
 MOVES = 3  # exits that may refuse a call before any endpoint saw it
 LOSSES = 2  # endpoints that may break off under a call, which may be the reason
@@ -64,7 +64,7 @@
         self.best = better(self.best, answer)
 
 
-class Attempts:
+class Dispatcher:
     """Runs calls at the endpoints of their service.
 
     :param keep: leaves the candidates whose version a call may go to.
@@ -82,7 +82,7 @@
         keep: Keep,
         sharers: Sharers,
         hint: collections.abc.Callable[[int, str], None],
-        peers: forwarders.Peers,
+        peers: forwarders.PeerClient,
         log: events.Events,
         meters: events.Meters,
     ):
@@ -96,34 +96,34 @@
         self.meters = meters
         self.peers = peers
         self.placer = placement.PLACERS.get(config.policies.placement)(config.zone)
-        self.budgets: dict[str, repeats.Budget] = {}
-        self.probes: set[asyncio.Task] = set()
-        self.ends_at = float("inf")
+        self.budgets: dict[str, retry_budget.Budget] = {}
+        self.poll_tasks: set[asyncio.Task] = set()
+        self.stop_deadline = float("inf")
 
-    def budget(self, service: str) -> repeats.Budget:
+    def budget(self, service: str) -> retry_budget.Budget:
         """Return the budget of a service."""
         found = self.budgets.get(service)
         if found is None:
-            kind = repeats.BUDGETS.get(self.config.policies.repeats)
-            found = self.budgets[service] = kind(self.config.repeats.limits())
+            kind = retry_budget.BUDGETS.get(self.config.policies.repeats)
+            found = self.budgets[service] = kind(self.config.repeats.budget_settings())
         return found
 
-    def reload(self) -> None:
+    def apply_settings(self) -> None:
         """Take over changed settings."""
         for budget in self.budgets.values():
-            budget.settings = self.config.repeats.limits()
+            budget.settings = self.config.repeats.budget_settings()
 
     async def run(self, call: calls.Call, route: routes.Route) -> calls.Answer:
         """Return the answer to a call; the last refusal if nobody took it."""
         self.check_end(route)
         self.count(call)
         if call.repeated and not self.may_spend(call):
-            return calls.refuse(codes.Failure(codes.RETRY_BUDGET, "call of a repeat"))
+            return calls.refusal(codes.Failure(codes.RETRY_BUDGET, "call of a repeat"))
         progress = Progress()
         while True:
             chosen = self.choose(call, route, progress.tried)
             if chosen is None:
-                return progress.best or calls.refuse(no_endpoint(call))
+                return progress.best or calls.refusal(no_endpoint(call))
             answer = await self.send(chosen, call)
             self.learn(chosen, call, answer)
             progress.add(chosen.node, answer)
@@ -138,12 +138,12 @@
         sender = "upstream" if call.inner else "caller"
         self.meters.budget_requests.labels(call.service, sender).inc()
         if not call.inner:
-            self.budget(call.service).note_request(clock.elapsed())
+            self.budget(call.service).record_request(clock.seconds_since_boot())
 
     def check_end(self, route: routes.Route) -> None:
         """Refuse a call that may still run when this process has to end."""
-        left = self.ends_at - asyncio.get_running_loop().time()
-        work = self.placer.mean(route.name).seconds or placement.DEFAULT_WORK
+        left = self.stop_deadline - asyncio.get_running_loop().time()
+        work = self.placer.mean(route.name).seconds or placement.DEFAULT_PROCESSING_TIME
         if queueing.may_outlast(work, left):
             raise codes.Failure(codes.STOPPING, retry_after=max(left, 0.0))
 
@@ -151,7 +151,7 @@
         self, call: calls.Call, route: routes.Route, tried: set[str]
     ) -> placement.Candidate | None:
         """Choose among the endpoints that were not tried."""
-        all_found = self.directory.of(call.service)
+        all_found = self.directory.candidates_of(call.service)
         found = self.keep(call.service, all_found, bool(tried))
         left = [item for item in found if item.node not in tried]
         now = asyncio.get_running_loop().time()
@@ -179,19 +179,19 @@
         """Learn from an answer about the endpoint that gave it."""
         now = asyncio.get_running_loop().time()
         if answer.load is not None:
-            chosen.note_load(answer.load, now)
+            chosen.record_load(answer.load, now)
         self.hint(answer.version, chosen.hop)
         if answer.code in UNUSABLE:
-            chosen.note_unreachable(now)
+            chosen.record_unreachable(now)
             if answer.load is None:
                 self.probe(chosen)
             return
-        chosen.note_reached()
+        chosen.record_reachable()
         failed = answer.code is None and answer.status >= FAILED_STATUS
         lost = answer.arrived and answer.code is not None
-        chosen.note_shed(failed or lost, now)
+        chosen.record_shed(failed or lost, now)
         if answer.code is None and answer.spent > 0 and not failed:
-            self.placer.learn(chosen, call.route, answer.spent, now)
+            self.placer.record_processing_time(chosen, call.route, answer.spent, now)
 
     def probe(self, chosen: placement.Candidate) -> None:
         """Begin to look for a node that could not be reached, with no request."""
@@ -200,20 +200,20 @@
             return
         chosen.lost = True
         task = asyncio.create_task(self.look_for(chosen))
-        self.probes.add(task)
-        task.add_done_callback(self.probes.discard)
+        self.poll_tasks.add(task)
+        task.add_done_callback(self.poll_tasks.discard)
 
     async def look_for(self, chosen: placement.Candidate) -> None:
         """Connect to a node again and again until it answers or is forgotten."""
         loop = asyncio.get_running_loop()
         self.log.note("node-lost", name=chosen.node, hop=chosen.hop)
-        while chosen in self.directory.of(chosen.service):
+        while chosen in self.directory.candidates_of(chosen.service):
             await asyncio.sleep(max(chosen.paused_until - loop.time(), 0.0))
             if await self.peers.reach(chosen.hop):
-                chosen.note_reached()
+                chosen.record_reachable()
                 self.log.note("node-regained", name=chosen.node)
                 return
-            chosen.note_unreachable(loop.time())
+            chosen.record_unreachable(loop.time())
 
     def may_repeat(
         self,
@@ -227,7 +227,7 @@
             return False
         if answer.code in FINAL:
             return False
-        if answer.ran is not codes.Ran.NOT_RUN and not call.idempotent:
+        if answer.ran is not codes.Execution.NOT_RUN and not call.idempotent:
             return False
         now = asyncio.get_running_loop().time()
         work = self.placer.mean(route.name).seconds
@@ -247,12 +247,12 @@
         The calls that a repeated request makes are repeats too: at the services that
         they go to.
         """
-        now = clock.elapsed()
+        now = clock.seconds_since_boot()
         nodes = self.sharers()
-        self.meters.sharers.set(nodes)
+        self.meters.budget_nodes.set(nodes)
         repeats_of = self.meters.budget_repeats
         budget = self.budget(call.service)
-        if budget.take(nodes, now):
+        if budget.try_spend(nodes, now):
             repeats_of.labels(call.service, "allowed").inc()
             return True
         repeats_of.labels(call.service, "refused").inc()
@@ -262,7 +262,7 @@
             id=call.attempt,
             service=call.service,
             repeated=call.repeated,
-            earned=budget.left(now),
+            earned=budget.earned_left(now),
             nodes=nodes,
         )
         return False
@@ -285,7 +285,7 @@
             why=answer.detail,
             ran=answer.ran,
             arrived=answer.arrived,
-            speed=chosen.speed(now),
+            speed=chosen.latency_ratio(now),
             shed=chosen.shed_share(now),
             running=chosen.load.running if chosen.load else "-",
             waiting=chosen.load.waiting if chosen.load else "-",
@@ -300,7 +300,7 @@
     """
     if last is None or answer.code is None:
         return answer
-    if last.code is None or last.ran is not codes.Ran.NOT_RUN:
+    if last.code is None or last.ran is not codes.Execution.NOT_RUN:
         return last
     return answer
 
--- a/rattanridge/mesh/entry.py
+++ b/rattanridge/mesh/entry.py
@@ -8,10 +8,10 @@
 
 from rattanridge.kernel import codes, routes
 from rattanridge.mesh import (
-    attempts,
     calls,
     claims,
     configs,
+    dispatcher,
     events,
     settings,
     suspects as suspecting,
@@ -40,10 +40,10 @@
         self,
         config: settings.Settings,
         configs: configs.Configs,
-        attempts: attempts.Attempts,
+        attempts: dispatcher.Dispatcher,
         claims: claims.Claims,
         suspects: suspecting.Suspects,
-        held: memory.Held,
+        held: memory.MemoryBudget,
         log: events.Events,
         meters: events.Meters,
     ):
@@ -52,7 +52,7 @@
         self.attempts = attempts
         self.claims = claims
         self.suspects = suspects
-        self.held = held
+        self.memory_budget = held
         self.log = log
         self.meters = meters
         self.splitter = splitting.Splitter()
@@ -71,14 +71,14 @@
             call, route = await self.read(request, began)
             answer = await self.run(call, route)
         except codes.Failure as failure:
-            answer = calls.refuse(failure)
+            answer = calls.refusal(failure)
         except asyncio.CancelledError:
             self.meters.requests.labels("caller-gone").inc()
             raise
         finally:
             self.active -= 1
             if call is not None:
-                self.held.release(call.body)
+                self.memory_budget.free_body(call.body)
         self.account(request, call, answer, began)
         return self.respond(answer)
 
@@ -106,7 +106,7 @@
         left = headers.parse_deadline(request.headers.get(headers.DEADLINE))
         left = DEFAULT_DEADLINE if left is None else left
         limit = min(current.limits.body_bytes, self.config.limits.body_bytes)
-        body = await bodies.read_body(request, limit, self.held)
+        body = await bodies.read_body(request, limit, self.memory_budget)
         attempt = request.headers.get(headers.ATTEMPT, "")
         parent = self.attempts.exit.parents.of(attempt)
         call = calls.Call(
@@ -137,7 +137,7 @@
         found[own_headers.RAN] = answer.ran.value
         if answer.code is not None:
             found[own_headers.CODE] = str(answer.code.number)
-            if answer.ran is codes.Ran.NOT_RUN and status >= 500:
+            if answer.ran is codes.Execution.NOT_RUN and status >= 500:
                 status = 503
                 wait = max(answer.retry_after, LEAST_RETRY_AFTER)
                 wait *= self.random.uniform(*RETRY_SPREAD)
--- a/rattanridge/mesh/events.py
+++ b/rattanridge/mesh/events.py
@@ -42,10 +42,12 @@
         self.share = self.gauge(
             "rollout_share", "Part of requests for the new version", "service"
         )
-        self.sharers = self.gauge(
+        self.budget_nodes = self.gauge(
             "budget_nodes", "Nodes that share the fixed part of the retry budget"
         )
-        self.age = self.gauge("belief_age_seconds", "Age of what is believed", "kind")
+        self.data_age = self.gauge(
+            "belief_age_seconds", "Age of what is believed", "kind"
+        )
 
     def counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
         return prometheus_client.Counter(
@@ -85,7 +87,7 @@
                     )
         return found
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Return all figures as text."""
         return prometheus_client.generate_latest(self.registry)
 
@@ -100,7 +102,7 @@
     def __init__(self, node: str, rate: float, sink: sinks.Sink | None = None):
         super().__init__("mesh", node)
         self.sink = sink
-        self.gate = sinks.Gate(rate)
+        self.gate = sinks.RateLimiter(rate)
         self.task: asyncio.Task | None = None
 
     def note(self, event: str, **fields: object) -> None:
@@ -127,9 +129,9 @@
     def report(self) -> None:
         """Tell how many lines of each kind were held back, and how many were lost
         because nobody read them."""
-        for event, count in self.gate.held_back.items():
+        for event, count in self.gate.suppressed.items():
             self.info("lines-held-back", kind=event, count=count)
-        self.gate.held_back.clear()
+        self.gate.suppressed.clear()
         if self.sink is not None and self.sink.dropped:
             self.info("lines-dropped", count=self.sink.dropped)
             self.sink.dropped = 0
--- a/rattanridge/mesh/exit.py
+++ b/rattanridge/mesh/exit.py
@@ -7,14 +7,14 @@
     calls,
     connections,
     events,
-    judging,
+    monitoring,
     parents,
     settings,
     suspects as suspecting,
     upstream as upstreams,
 )
 from rattanridge.platform import headers
-from rattanridge.policies import placement, queueing, resting
+from rattanridge.policies import idle_timeout, placement, queueing
 from rattanridge.web import memory
 
 LOOK_PAUSE = 0.05  # seconds after a broken connection until the upstream is looked at
@@ -36,7 +36,7 @@
         config: settings.Settings,
         upstream: upstreams.Upstream,
         suspects: suspecting.Suspects,
-        held: memory.Held,
+        held: memory.MemoryBudget,
         log: events.Events,
         meters: events.Meters,
     ):
@@ -46,7 +46,7 @@
         self.log = log
         self.meters = meters
         self.pool = connections.Pool(held)
-        self.resting = resting.Resting()
+        self.resting = idle_timeout.IdleTimeout()
         self.queue = queueing.Queue(
             1,
             queueing.ORDERS.get(config.policies.order),
@@ -57,8 +57,8 @@
         self.looking: asyncio.Task | None = None
         self.parents = parents.Parents()
         self.stopping = False
-        self.ends_at = float("inf")
-        self.judge = judging.Judge(upstream, log)
+        self.stop_deadline = float("inf")
+        self.monitor = monitoring.Monitor(upstream, log)
         upstream.listeners.append(self.follow)
 
     def follow(self) -> None:
@@ -66,7 +66,7 @@
         upstream = self.upstream
         if upstream.identity != self.identity:
             self.identity = upstream.identity
-            self.suspects.ended()
+            self.suspects.record_upstream_end()
         self.queue.resize(max(upstream.slots, 1))
         if upstream.state is upstreams.State.READY:
             return
@@ -74,14 +74,14 @@
         if upstream.state is upstreams.State.UNKNOWN:
             self.pool.close()
 
-    def busy(self) -> int:
+    def request_count(self) -> int:
         """Return the requests at the upstream or in the queue."""
         return self.queue.running + len(self.queue.waiting)
 
     def load(self) -> placement.Load:
         """Return the load as other nodes are told."""
         queue = self.queue
-        return placement.Load(queue.running, len(queue.waiting), queue.wait())
+        return placement.Load(queue.running, len(queue.waiting), queue.expected_wait())
 
     async def run(self, call: calls.Call) -> calls.Answer:
         """Run a call. One that must not repeat goes on if its caller goes away,
@@ -108,7 +108,7 @@
         try:
             answer = await self.admit(call)
         except codes.Failure as failure:
-            answer = calls.refuse(failure, arrived=call.sent)
+            answer = calls.refusal(failure, arrived=call.sent)
         answer.load = self.load()
         if answer.code is not None:
             self.note(call, answer)
@@ -135,7 +135,7 @@
         ticket = queueing.Ticket(
             call.route, call.rank, call.nested, call.timely_until, call.deadline
         )
-        await self.queue.enter(ticket)
+        await self.queue.acquire(ticket)
         queued = loop.time() - began
         try:
             self.check(call)
@@ -144,17 +144,17 @@
             answer.queued = queued
             return answer
         finally:
-            self.queue.leave()
+            self.queue.release()
 
     def check(self, call: calls.Call) -> None:
         """Refuse what the upstream can't be given now."""
         if self.stopping or self.may_outlast(call):
             raise codes.Failure(codes.STOPPING)
         self.suspects.check(call)
-        failure = self.upstream.refusal(call.service) or self.judge.refusal()
+        failure = self.upstream.refusal(call.service) or self.monitor.refusal()
         if failure is not None:
             raise failure
-        if self.upstream.doubted(len(self.parents.running)):
+        if self.upstream.is_unresponsive(len(self.parents.running)):
             raise codes.Failure(codes.NO_ENDPOINT, "silent")
 
     def may_outlast(self, call: calls.Call) -> bool:
@@ -162,15 +162,15 @@
 
         Entries that have not heard that it stops still send here.
         """
-        left = self.ends_at - asyncio.get_running_loop().time()
-        return queueing.may_outlast(self.queue.times.of(call.route), left)
+        left = self.stop_deadline - asyncio.get_running_loop().time()
+        return queueing.may_outlast(self.queue.times.mean_of(call.route), left)
 
     async def send(self, call: calls.Call) -> calls.Answer:
         """Send a call to the upstream and return what it says."""
         loop = asyncio.get_running_loop()
         identity = self.upstream.identity
         address = self.upstream.address
-        longest = self.resting.longest(not call.idempotent, loop.time())
+        longest = self.resting.max_idle(not call.idempotent, loop.time())
         try:
             connection = await self.pool.acquire(
                 address, call.deadline - loop.time(), longest
@@ -181,7 +181,7 @@
         began = loop.time()
         data = self.write(call, identity, call.deadline - began)
         call.sent = True
-        self.upstream.asked(len(self.parents.running))
+        self.upstream.record_request(len(self.parents.running))
         self.parents.begin(call)
         try:
             async with asyncio.timeout_at(call.deadline + ANSWER_MARGIN):
@@ -189,8 +189,8 @@
                     data, call.method != "HEAD", lambda item: is_answer(item, call)
                 )
         except TimeoutError:
-            self.judge.observe(call, None, loop.time() - began)
-            raise codes.Failure(codes.DEADLINE, ran=codes.Ran.UNKNOWN)
+            self.monitor.record_request(call, None, loop.time() - began)
+            raise codes.Failure(codes.DEADLINE, ran=codes.Execution.UNKNOWN)
         except codes.Failure:
             self.note_broken(call, connection, loop.time() - began)
             raise
@@ -204,19 +204,19 @@
         self, call: calls.Call, connection: connections.Connection, lasted: float
     ) -> None:
         """The upstream's connection broke under a request."""
-        self.judge.observe(call, None, lasted)
+        self.monitor.record_request(call, None, lasted)
         now = asyncio.get_running_loop().time()
-        if self.resting.note_broken(connection.rested, lasted, now):
-            self.log.note("connection-forgotten", rested=connection.rested)
+        if self.resting.record_break(connection.idle_seconds, lasted, now):
+            self.log.note("connection-forgotten", rested=connection.idle_seconds)
             return
-        self.suspects.broken(call, lasted)
+        self.suspects.record_broken_call(call, lasted)
         self.look_soon()
 
     def note_unreachable(self, failure: codes.Failure) -> None:
         """The upstream took no connection; if nobody listens, it has ended."""
-        self.upstream.unreachable(failure.detail)
+        self.upstream.record_unreachable(failure.detail)
         if failure.detail == connections.REFUSED:
-            self.suspects.ended()
+            self.suspects.record_upstream_end()
 
     def look_soon(self) -> None:
         """See whether the upstream is still there, once for many broken calls."""
@@ -232,7 +232,7 @@
         except codes.Failure as failure:
             self.note_unreachable(failure)
             return
-        self.pool.keep(address, connection)
+        self.pool.add_idle(address, connection)
 
     def write(
         self, call: calls.Call, identity: upstreams.Identity, left: float
@@ -254,16 +254,16 @@
         spent: float,
     ) -> calls.Answer:
         """Judge an answer: the upstream's own, or a proof that nothing ran."""
-        self.upstream.answered()
+        self.upstream.record_answer()
         if response.status == MISDIRECTED:
-            self.upstream.misdirected(identity)
-            return calls.refuse(codes.Failure(codes.WRONG_ENDPOINT), arrived=True)
+            self.upstream.record_misdirected(identity)
+            return calls.refusal(codes.Failure(codes.WRONG_ENDPOINT), arrived=True)
         if headers.NOT_RUN in response.headers:
-            return calls.refuse(codes.Failure(codes.SHEDDING), arrived=True)
-        self.queue.times.note(call.route, spent)
+            return calls.refusal(codes.Failure(codes.SHEDDING), arrived=True)
+        self.queue.times.record(call.route, spent)
         self.meters.upstream_seconds.observe(spent)
-        self.judge.observe(call, response.status, spent)
-        self.suspects.answered(call)
+        self.monitor.record_request(call, response.status, spent)
+        self.suspects.record_answer(call)
         check_answer(response)
         return calls.Answer(
             response.status,
@@ -285,12 +285,16 @@
 def check_answer(response: connections.Response) -> None:
     """Refuse an answer that may not be the upstream's own, whole one."""
     if 200 <= response.status < 300:
-        if headers.PROOF not in response.headers:
-            raise codes.Failure(codes.ANSWER_CUT, "no proof", ran=codes.Ran.UNKNOWN)
+        if headers.SIGNATURE not in response.headers:
+            raise codes.Failure(
+                codes.ANSWER_CUT, "no proof", ran=codes.Execution.UNKNOWN
+            )
         if "Content-Encoding" in response.headers:
-            raise codes.Failure(codes.ANSWER_CUT, "encoded", ran=codes.Ran.UNKNOWN)
+            raise codes.Failure(
+                codes.ANSWER_CUT, "encoded", ran=codes.Execution.UNKNOWN
+            )
     if response.status in calls.PROMISES:
         # It would tell the caller that the request did not run; no proof says so.
         raise codes.Failure(
-            codes.UPSTREAM_FAILED, str(response.status), ran=codes.Ran.UNKNOWN
+            codes.UPSTREAM_FAILED, str(response.status), ran=codes.Execution.UNKNOWN
         )
--- a/rattanridge/mesh/ports.py
+++ b/rattanridge/mesh/handlers.py
@@ -7,14 +7,14 @@
 
 from rattanridge.kernel import codes
 from rattanridge.mesh import (
-    access as accesses,
     calls,
     configs as configurations,
     directory as directories,
     events,
     exit as exits,
-    judging,
+    hop_auth as accesses,
     marks,
+    monitoring,
     settings,
     upstream as upstreams,
     watching,
@@ -27,7 +27,7 @@
 Settled = collections.abc.Callable[[], collections.abc.Awaitable[None]]
 
 
-class Hops:
+class HopHandler:
     """Calls that other nodes forward to the exit here.
 
     :param access: checks who sends.
@@ -39,7 +39,7 @@
         exit: exits.Exit,
         configs: configurations.Configs,
         directory: directories.Directory,
-        access: accesses.Access,
+        access: accesses.HopAuth,
         meters: events.Meters,
     ):
         self.directory = directory
@@ -59,7 +59,7 @@
         try:
             answer = await self.exit.run(await self.read(request))
         except codes.Failure as failure:
-            answer = calls.refuse(failure)
+            answer = calls.refusal(failure)
         answer.version = self.configs.version
         sent = [*answer.headers, (own_headers.ANSWER, marks.write_answer(answer))]
         response = aiohttp.web.Response(
@@ -71,17 +71,19 @@
 
     def answer_node(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.Response:
         """Answer what another node asks beside calls."""
-        judge = self.exit.judge
-        if request.path == judging.PAGE:
+        judge = self.exit.monitor
+        if request.path == monitoring.REPORT_PATH:
             return aiohttp.web.Response(body=judge.report(), content_type=JSON)
-        if request.path == directories.PAGE:
-            return aiohttp.web.Response(body=self.directory.page(), content_type=JSON)
-        if request.path == configurations.PAGE:
+        if request.path == directories.PATH:
+            return aiohttp.web.Response(
+                body=self.directory.encode_records(), content_type=JSON
+            )
+        if request.path == configurations.PATH:
             return aiohttp.web.Response(body=self.configs.packed())
-        if request.path == configurations.STATE_PAGE:
+        if request.path == configurations.STATE_PATH:
             return aiohttp.web.Response(body=self.configs.state(), content_type=JSON)
         page, _, version = request.path.rpartition("/")
-        if page != judging.BRAKE_PAGE or request.method != "POST":
+        if page != monitoring.BRAKE_PATH or request.method != "POST":
             return aiohttp.web.Response(status=404)
         judge.brake(version)
         return aiohttp.web.Response(body=b"{}", content_type=JSON)
@@ -97,11 +99,11 @@
             body,
         )
         call.headers = calls.forwardable(request.headers)
-        self.configs.hint(call.version, call.entry)
+        self.configs.record_peer_version(call.version, call.entry)
         return call
 
 
-class Heartbeats:
+class HeartbeatHandler:
     """What the upstream beside the node says of itself.
 
     :param settled: waits until the node's record is in the store.
@@ -136,17 +138,17 @@
     async def take(self, method: str, endpoint: str, data: bytes) -> None:
         """Take over what was said; leaving is told to the other nodes first."""
         if method == "DELETE":
-            self.upstream.leave(endpoint, heartbeats.decode_leave(data))
+            self.upstream.record_farewell(endpoint, heartbeats.decode_leave(data))
             await self.settled()
         elif method == "PUT":
             beat = heartbeats.decode(endpoint, data)
-            if self.upstream.hear(beat) and beat.draining:
+            if self.upstream.record_heartbeat(beat) and beat.draining:
                 await self.settled()
         else:
             raise codes.Failure(codes.BAD_REQUEST, method)
 
 
-class Ready:
+class ReadinessHandler:
     """The platform's question whether callers may be sent here.
 
     :param ready: answers it.
@@ -162,7 +164,7 @@
         return aiohttp.web.Response(status=200 if self.ready() else 503)
 
 
-class Metrics:
+class MetricsHandler:
     """Counters, gauges and histograms in the text format of Prometheus.
 
     :param watches: whose ages are told.
@@ -186,6 +188,8 @@
         self.meters.running.set(self.exit.queue.running)
         self.meters.waiting.set(len(self.exit.queue.waiting))
         for watch in self.watches:
-            self.meters.age.labels(watch.kind).set(now - watch.heard_at)
-        self.meters.age.labels("heartbeat").set(now - self.upstream.heard_at)
-        return aiohttp.web.Response(body=self.meters.page(), content_type="text/plain")
+            self.meters.data_age.labels(watch.kind).set(now - watch.answered_at)
+        self.meters.data_age.labels("heartbeat").set(now - self.upstream.heartbeat_at)
+        return aiohttp.web.Response(
+            body=self.meters.render(), content_type="text/plain"
+        )
--- a/rattanridge/mesh/access.py
+++ b/rattanridge/mesh/hop_auth.py
@@ -12,7 +12,7 @@
 Marks = list[tuple[str, str]]
 
 
-class Access:
+class HopAuth:
     """Marks what this node sends, and checks what others send.
 
     Without a key in the settings nothing is marked or checked.
--- a/rattanridge/mesh/marks.py
+++ b/rattanridge/mesh/marks.py
@@ -87,7 +87,7 @@
     if len(parts) != ANSWER_FIELDS:
         return False
     try:
-        answer.ran = codes.Ran(parts[0])
+        answer.ran = codes.Execution(parts[0])
         numbers = [int(part) for part in parts[1:]]
     except ValueError:
         return False
--- a/rattanridge/mesh/membership.py
+++ b/rattanridge/mesh/membership.py
@@ -15,7 +15,7 @@
     watching,
 )
 from rattanridge.platform import store as stores
-from rattanridge.policies import sharing
+from rattanridge.policies import budget_nodes
 
 SETTLED_WAIT = 0.3  # seconds that an acknowledgement waits for the store
 STOPPING = "stopping"  # state of a node whose upstream goes on without it
@@ -47,8 +47,8 @@
         self.log = log
         self.directory = directories.Directory(suspects, log)
         self.publisher = publishers.Publisher(config.name, store, health, log)
-        span = config.repeats.limits().span()
-        self.sharers = sharing.Sharers(config.name, span)
+        span = config.repeats.budget_settings().span()
+        self.sharers = budget_nodes.BudgetNodes(config.name, span)
         self.removals: set[asyncio.Task] = set()
         self.known = False
         self.stopping = False
@@ -63,7 +63,7 @@
         """
         if self.known:
             return
-        data = await self.fetch(address, directories.PAGE)
+        data = await self.fetch(address, directories.PATH)
         if data is None or not self.directory.take_page(data):
             return
         self.known = True
@@ -72,10 +72,10 @@
         if name in self.directory.records:
             self.restore(name)
 
-    def take_all(self, items: list[stores.Stored]) -> None:
+    def take_all(self, items: list[stores.StoredObject]) -> None:
         """Take over the records of all nodes."""
         self.directory.take_all(items)
-        self.sharers.see(self.directory.records, clock.elapsed())
+        self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
         self.known = True
         for item in items:
             self.remove_predecessor(item)
@@ -85,29 +85,31 @@
             self.publisher.see(item)
         if not own:
             self.publisher.see(
-                stores.Stored(self.config.name, self.publisher.revision, deleted=True)
+                stores.StoredObject(
+                    self.config.name, self.publisher.revision, deleted=True
+                )
             )
 
-    def take(self, item: stores.Stored) -> None:
+    def take(self, item: stores.StoredObject) -> None:
         """Take over one node's record."""
         self.directory.take(item)
-        self.sharers.see(self.directory.records, clock.elapsed())
+        self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
         self.publisher.see(item)
 
     def reload(self) -> None:
         """Take over changed settings."""
-        self.sharers.set_span(self.config.repeats.limits().span())
+        self.sharers.set_span(self.config.repeats.budget_settings().span())
 
     def hear(self) -> None:
         """The store answered the watch of the records."""
-        self.sharers.hear(clock.elapsed())
+        self.sharers.record_contact(clock.seconds_since_boot())
 
     def count_sharers(self) -> int:
         """Return among how many nodes to divide what all share; 0 if this one takes
         no part."""
-        return self.sharers.count(clock.elapsed())
+        return self.sharers.count(clock.seconds_since_boot())
 
-    def remove_predecessor(self, item: stores.Stored) -> None:
+    def remove_predecessor(self, item: stores.StoredObject) -> None:
         """Remove the record of a node that had this node's address before."""
         record = self.directory.records.get(item.name)
         if record is None or item.name == self.config.name:
@@ -117,7 +119,7 @@
             self.removals.add(task)
             task.add_done_callback(self.removals.discard)
 
-    async def remove(self, item: stores.Stored) -> None:
+    async def remove(self, item: stores.StoredObject) -> None:
         """Remove a record unless it was changed meanwhile."""
         try:
             await self.store.delete(records.KIND, item.name, item.revision)
--- a/rattanridge/mesh/judging.py
+++ b/rattanridge/mesh/monitoring.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from rattanridge.kernel import codes, reading
+from rattanridge.kernel import codes, untrusted_json
 from rattanridge.mesh import calls, events, upstream as upstreams
 from rattanridge.policies import evidence
 
-PAGE = "/evidence"
-BRAKE_PAGE = "/brake"
+REPORT_PATH = "/evidence"
+BRAKE_PATH = "/brake"
 TIMED_OUT = 504
 BRAKE_TERM = 30.0  # seconds after which a brake that nobody renews ends
 
@@ -23,21 +23,23 @@
     endpoint: str
     service: str
     version: str
-    routes: evidence.Routes
+    routes: evidence.CountsByRoute
 
 
-class Judge:
+class Monitor:
     """Counts how the upstream serves each route; and refuses a braked version."""
 
     def __init__(self, upstream: upstreams.Upstream, log: events.Events):
         self.upstream = upstream
         self.log = log
         self.identity = upstream.identity
-        self.routes: evidence.Routes = {}
+        self.routes: evidence.CountsByRoute = {}
         self.braked_until = 0.0
         self.braked_version = ""
 
-    def observe(self, call: calls.Call, status: int | None, spent: float) -> None:
+    def record_request(
+        self, call: calls.Call, status: int | None, spent: float
+    ) -> None:
         """Count one request that the upstream answered.
 
         A lost answer tells nothing of the version, nor does the time of a
@@ -51,7 +53,7 @@
         cold = asyncio.get_running_loop().time() < self.upstream.cold_until
         failed = status >= 500 and status != TIMED_OUT
         counts = self.routes.setdefault(call.route, evidence.Counts())
-        counts.add(failed, None if cold else spent)
+        counts.record_call(failed, None if cold else spent)
 
     def report(self) -> bytes:
         """Return the evidence as other nodes read it."""
@@ -82,4 +84,4 @@
 
 def decode(data: bytes) -> Report | None:
     """Decode a report; None if it is unreadable."""
-    return reading.read_json(data, Report)
+    return untrusted_json.decode_or_none(data, Report)
--- a/rattanridge/mesh/node.py
+++ b/rattanridge/mesh/node.py
@@ -10,17 +10,17 @@
 
 from rattanridge.kernel import addresses, codes, sink as sinks
 from rattanridge.mesh import (
-    access as accesses,
-    attempts,
     claims,
     configs,
     coordinator,
+    dispatcher,
     entry,
     events,
     exit as exits,
+    handlers,
+    hop_auth as accesses,
     membership,
     peers as forwarders,
-    ports,
     records,
     settings,
     suspects as suspecting,
@@ -59,17 +59,17 @@
     def __init__(
         self,
         config: settings.Settings,
-        file: settings.File | None = None,
+        file: settings.SettingsFile | None = None,
         sink: sinks.Sink | None = None,
     ):
         self.config = config
-        self.file = file
+        self.settings_file = file
         self.log = events.Events(config.name, config.limits.log_lines, sink)
         self.meters = events.Meters()
         self.store = stores.Store(config.store, self.meters.observe_store)
         self.health = watching.Health(self.log)
-        self.access = accesses.Access(config)
-        self.held = memory.Held(config.limits.held_bytes)
+        self.hop_auth = accesses.HopAuth(config)
+        self.memory_budget = memory.MemoryBudget(config.limits.held_bytes)
         self.upstream = upstreams.Upstream(config, self.log)
         self.suspects = suspecting.Suspects(config.name, self.log, self.meters)
         self.membership = membership.Membership(
@@ -91,17 +91,22 @@
             self.meters,
         )
         self.exit = exits.Exit(
-            config, self.upstream, self.suspects, self.held, self.log, self.meters
+            config,
+            self.upstream,
+            self.suspects,
+            self.memory_budget,
+            self.log,
+            self.meters,
         )
         self.versions = versions.Versions(self.log, self.meters, time.monotonic)
-        self.attempts = attempts.Attempts(
+        self.dispatcher = dispatcher.Dispatcher(
             config,
             self.directory,
             self.exit,
             self.versions.keep,
             self.membership.count_sharers,
-            self.configs.hint,
-            forwarders.Peers(self.access, self.held),
+            self.configs.record_peer_version,
+            forwarders.PeerClient(self.hop_auth, self.memory_budget),
             self.log,
             self.meters,
         )
@@ -111,17 +116,17 @@
         self.entry = entry.Entry(
             config,
             self.configs,
-            self.attempts,
+            self.dispatcher,
             self.claims,
             self.suspects,
-            self.held,
+            self.memory_budget,
             self.log,
             self.meters,
         )
-        self.hops = ports.Hops(
-            config, self.exit, self.configs, self.directory, self.access, self.meters
+        self.hop_handler = handlers.HopHandler(
+            config, self.exit, self.configs, self.directory, self.hop_auth, self.meters
         )
-        self.heartbeats = ports.Heartbeats(
+        self.heartbeat_handler = handlers.HeartbeatHandler(
             self.upstream, self.membership.settled, self.log, self.meters
         )
         self.watches = [
@@ -154,7 +159,7 @@
             self.health,
             self.versions,
             self.directory,
-            self.attempts.peers,
+            self.dispatcher.peers,
             self.log,
         )
         self.runners: list[aiohttp.web.ServerRunner] = []
@@ -163,7 +168,7 @@
 
     async def fetch(self, address: str, path: str) -> bytes | None:
         """Ask another node for a page."""
-        return await self.attempts.peers.fetch(address, "GET", path)
+        return await self.dispatcher.peers.fetch(address, "GET", path)
 
     def watch(
         self,
@@ -182,11 +187,13 @@
         """Listen on all ports and begin to follow the store."""
         listen = self.config.listen
         await self.listen(self.entry.serve, listen.callers)
-        await self.listen(self.hops.serve, listen.hops)
-        await self.listen(ports.Ready(self.ready).serve, listen.ready)
-        await self.listen(self.heartbeats.serve, listen.heartbeats)
+        await self.listen(self.hop_handler.serve, listen.hops)
+        await self.listen(handlers.ReadinessHandler(self.ready).serve, listen.ready)
+        await self.listen(self.heartbeat_handler.serve, listen.heartbeats)
         if listen.metrics:
-            metrics = ports.Metrics(self.meters, self.exit, self.upstream, self.watches)
+            metrics = handlers.MetricsHandler(
+                self.meters, self.exit, self.upstream, self.watches
+            )
             await self.listen(metrics.serve, listen.metrics)
         self.log.start()
         for watch in self.watches:
@@ -226,7 +233,7 @@
         try:
             await site.start()
         except OSError as error:
-            where = addresses.join(host, int(port))
+            where = addresses.join_host_port(host, int(port))
             raise codes.Failure(codes.CANNOT_LISTEN, error.strerror or "", where=where)
 
     def ready(self) -> bool:
@@ -241,29 +248,29 @@
         """Look after connections and the settings file, again and again."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
-            self.exit.pool.sweep()
+            self.exit.pool.expire_idle()
             self.suspects.expire()
             self.exit.parents.expire()
-            self.attempts.peers.pool.sweep()
-            if self.file is not None and self.file.changed():
+            self.dispatcher.peers.pool.expire_idle()
+            if self.settings_file is not None and self.settings_file.changed():
                 self.reload()
 
     def reload(self) -> None:
         """Take over changed settings; wrong ones change nothing."""
         try:
-            fresh = settings.load(self.file.path)
+            fresh = settings.load(self.settings_file.path)
         except codes.Failure as failure:
             self.log.error("settings-refused", why=str(failure))
             return
         for name in fresh.__struct_fields__:
             setattr(self.config, name, getattr(fresh, name))
-        self.attempts.reload()
+        self.dispatcher.apply_settings()
         self.membership.reload()
         self.log.info("settings-reloaded", service=fresh.service, store=fresh.store)
 
     def busy(self) -> int:
         """Return the requests in progress."""
-        return self.entry.active + self.exit.busy()
+        return self.entry.active + self.exit.request_count()
 
     async def stop(self) -> None:
         """Graceful shutdown: say so, serve on, finish what runs, end."""
@@ -274,8 +281,8 @@
         self.membership.stopping = True
         self.membership.publish()
         last = began + self.config.drain.grace - RESERVE
-        self.attempts.ends_at = self.exit.ends_at = last
-        self.hops.closing = True
+        self.dispatcher.stop_deadline = self.exit.stop_deadline = last
+        self.hop_handler.closing = True
         while loop.time() < last:
             await asyncio.sleep(DRAIN_STEP)
             passed = loop.time() - began
@@ -298,9 +305,9 @@
         self.log.info("node-stopped", requests=self.busy())
         for runner in self.runners:
             await runner.cleanup()
-        for task in (*self.tasks, *self.attempts.probes):
+        for task in (*self.tasks, *self.dispatcher.poll_tasks):
             task.cancel()
         self.exit.pool.close()
-        self.attempts.peers.pool.close()
+        self.dispatcher.peers.pool.close()
         await self.store.close()
         self.log.stop()
--- a/rattanridge/mesh/parents.py
+++ b/rattanridge/mesh/parents.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(self) -> None:
-        self.started_at = clock.elapsed()
+        self.started_at = clock.seconds_since_boot()
         # Whether each request in progress is a repeat.
         self.running: dict[str, bool] = {}
         # Until when repeats that have ended may make calls.
@@ -46,7 +46,9 @@
         """A call was answered, or given up, ``left`` seconds before its deadline."""
         self.running.pop(call.attempt, None)
         if call.repeated:
-            self.ended[call.attempt] = clock.elapsed() + max(left, 0.0) + LATE
+            self.ended[call.attempt] = (
+                clock.seconds_since_boot() + max(left, 0.0) + LATE
+            )
 
     def of(self, attempt: str) -> Parent | None:
         """Return the parent of a request; None if a caller sent it."""
@@ -56,12 +58,12 @@
         repeated = self.running.get(parent)
         if repeated is not None:
             return Parent(True, repeated)
-        now = clock.elapsed()
+        now = clock.seconds_since_boot()
         ended = self.ended.get(parent, 0.0) > now
         return Parent(False, ended or now - self.started_at < EARLIER)
 
     def expire(self) -> None:
         """Forget requests whose calls can't come any more."""
-        now = clock.elapsed()
+        now = clock.seconds_since_boot()
         for attempt in [item for item, until in self.ended.items() if until <= now]:
             del self.ended[attempt]
--- a/rattanridge/mesh/peers.py
+++ b/rattanridge/mesh/peers.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from rattanridge.kernel import codes
-from rattanridge.mesh import access, calls, connections, marks
+from rattanridge.mesh import calls, connections, hop_auth, marks
 from rattanridge.platform import headers
 from rattanridge.web import headers as own_headers, memory
 
@@ -12,14 +12,14 @@
 ASK_TIMEOUT = 0.5  # seconds for an answer to a node's own question
 
 
-class Peers:
+class PeerClient:
     """Sends calls to other nodes.
 
     :param access: marks what is sent.
     :param held: counts the bytes of bodies that the node holds.
     """
 
-    def __init__(self, access: access.Access, held: memory.Held):
+    def __init__(self, access: hop_auth.HopAuth, held: memory.MemoryBudget):
         self.access = access
         self.pool = connections.Pool(held)
 
@@ -28,7 +28,9 @@
         try:
             return await self.forward(address, call)
         except codes.Failure as failure:
-            return calls.refuse(failure, arrived=failure.ran is not codes.Ran.NOT_RUN)
+            return calls.refusal(
+                failure, arrived=failure.ran is not codes.Execution.NOT_RUN
+            )
 
     async def reach(self, address: str) -> bool:
         """Open a connection to a node, kept for later; return whether it took it."""
@@ -36,7 +38,7 @@
             connection = await self.pool.connect(address, PROBE_TIMEOUT)
         except codes.Failure:
             return False
-        self.pool.keep(address, connection)
+        self.pool.add_idle(address, connection)
         return True
 
     async def fetch(self, address: str, method: str, path: str) -> bytes | None:
@@ -72,10 +74,10 @@
             async with asyncio.timeout_at(call.deadline + ANSWER_MARGIN):
                 response = await connection.exchange(data, call.method != "HEAD", None)
         except TimeoutError:
-            raise codes.Failure(codes.DEADLINE, ran=codes.Ran.UNKNOWN)
+            raise codes.Failure(codes.DEADLINE, ran=codes.Execution.UNKNOWN)
         except codes.Failure as failure:
             raise codes.Failure(
-                codes.PEER_FAILED, failure.detail, ran=codes.Ran.UNKNOWN
+                codes.PEER_FAILED, failure.detail, ran=codes.Execution.UNKNOWN
             )
         self.release(address, connection, response)
         return self.read(response)
@@ -100,7 +102,7 @@
         answer = calls.Answer(response.status, [], response.body)
         if not marks.read_answer(answer, response.headers.get(own_headers.ANSWER, "")):
             raise codes.Failure(
-                codes.PEER_FAILED, "no mark on the answer", ran=codes.Ran.UNKNOWN
+                codes.PEER_FAILED, "no mark on the answer", ran=codes.Execution.UNKNOWN
             )
         answer.headers = calls.forwardable(response.headers)
         return answer
--- a/rattanridge/mesh/publisher.py
+++ b/rattanridge/mesh/publisher.py
@@ -40,7 +40,7 @@
             self.written.clear()
             self.changed.set()
 
-    def see(self, item: stores.Stored) -> None:
+    def see(self, item: stores.StoredObject) -> None:
         """Take what the store holds; write again if that is not what is wanted."""
         if item.name != self.name or item.revision < self.revision:
             return
@@ -48,7 +48,7 @@
         if self.known != self.wanted:
             self.changed.set()
 
-    def note(self, item: stores.Stored | None) -> None:
+    def note(self, item: stores.StoredObject | None) -> None:
         """Remember what the store holds."""
         self.revision = item.revision if item is not None else 0
         self.known = None
--- a/rattanridge/mesh/receiving.py
+++ b/rattanridge/mesh/receiving.py
@@ -18,7 +18,7 @@
     :param held: counts the bytes of bodies that the node holds.
     """
 
-    def __init__(self, held: memory.Held):
+    def __init__(self, held: memory.MemoryBudget):
         self.held = held
         self.taken = 0
         self.size = 0
@@ -37,7 +37,7 @@
             raise failed("answer too large")
         if framing > FRAMING_BYTES + bodies // FRAMING_PART:
             raise failed("bytes that are no answer")
-        if bodies > memory.SMALL:
+        if bodies > memory.SMALL_BODY_BYTES:
             self.hold(bodies - self.taken)
 
     def skip(self, body: int) -> None:
@@ -51,15 +51,15 @@
             raise failed("other answers without end")
 
     def hold(self, size: int) -> None:
-        self.held.take(size, codes.Ran.UNKNOWN)
+        self.held.reserve(size, codes.Execution.UNKNOWN)
         self.taken += size
 
     def release(self) -> None:
         """Give back what the node held."""
-        self.held.give(self.taken)
+        self.held.free(self.taken)
         self.taken = 0
 
 
 def failed(why: str) -> codes.Failure:
     """Return the failure of an answer that is not taken."""
-    return codes.Failure(codes.UPSTREAM_FAILED, why, ran=codes.Ran.UNKNOWN)
+    return codes.Failure(codes.UPSTREAM_FAILED, why, ran=codes.Execution.UNKNOWN)
--- a/rattanridge/mesh/settings.py
+++ b/rattanridge/mesh/settings.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from rattanridge.kernel import codes, documents, registry, settings
-from rattanridge.policies import placement, queueing, repeats
+from rattanridge.policies import placement, queueing, retry_budget
 
 KEY_LENGTH_LEAST = 8  # characters of the shared key
 ADDRESSES = ("callers", "hops", "ready", "heartbeats", "metrics", "admin")
@@ -46,9 +46,9 @@
     least: float = 10.0
     window: settings.Seconds = 10.0
 
-    def limits(self) -> repeats.Settings:
+    def budget_settings(self) -> retry_budget.Settings:
         """Return them as the budgets take them."""
-        return repeats.Settings(self.ratio, self.least, self.window)
+        return retry_budget.Settings(self.ratio, self.least, self.window)
 
 
 class Limits(settings.Struct):
@@ -95,7 +95,7 @@
     "placement": placement.PLACERS,
     "order": queueing.ORDERS,
     "admission": queueing.ADMISSIONS,
-    "repeats": repeats.BUDGETS,
+    "repeats": retry_budget.BUDGETS,
 }
 
 
@@ -135,7 +135,7 @@
     try:
         check(found, where)
     except codes.Failure as failure:
-        raise documents.point(failure, text, where)
+        raise documents.add_line_number(failure, text, where)
     return found
 
 
@@ -152,22 +152,28 @@
     settings.check_address(found.upstream, "upstream", where)
     settings.check_tokens(found.tokens, where)
     if found.key and len(found.key) < KEY_LENGTH_LEAST:
-        settings.refuse(where, "key", f"shorter than {KEY_LENGTH_LEAST} characters")
+        settings.raise_bad_field(
+            where, "key", f"shorter than {KEY_LENGTH_LEAST} characters"
+        )
     seen: set[str] = set()
     for name in ADDRESSES:
         address = getattr(found.listen, name)
         settings.check_address(address, f"listen.{name}", where)
         if address and address in seen:
-            settings.refuse(where, f"listen.{name}", f"{address} has another use")
+            settings.raise_bad_field(
+                where, f"listen.{name}", f"{address} has another use"
+            )
         seen.add(address)
     for name, plugins in PLUGINS.items():
         chosen = getattr(found.policies, name)
         if chosen not in plugins.items:
             known = ", ".join(plugins.names())
-            settings.refuse(where, f"policies.{name}", f"{chosen!r}; known: {known}")
+            settings.raise_bad_field(
+                where, f"policies.{name}", f"{chosen!r}; known: {known}"
+            )
 
 
-class File:
+class SettingsFile:
     """A settings file that may change at any time.
 
     :param path: where it lies.
--- a/rattanridge/mesh/suspects.py
+++ b/rattanridge/mesh/suspects.py
@@ -32,36 +32,36 @@
         self.log = log
         self.meters = meters
         self.wall = wall
-        self.evidence = quarantine.Evidence()
+        self.evidence = quarantine.CrashEvidence()
         self.quarantine = quarantine.Quarantine()
         self.listeners: list[collections.abc.Callable[[], None]] = []
 
     def check(self, call: calls.Call) -> None:
         """Refuse a request that is held back."""
-        if not self.quarantine.told:
+        if not self.quarantine.reported:
             return
         name = fingerprint(call)
-        if self.quarantine.holds(name, self.wall()):
+        if self.quarantine.is_quarantined(name, self.wall()):
             raise codes.Failure(
-                codes.QUARANTINED, name, retry_after=quarantine.EXPIRY / 2
+                codes.QUARANTINED, name, retry_after=quarantine.EVIDENCE_TTL / 2
             )
 
-    def broken(self, call: calls.Call, ran_for: float) -> None:
+    def record_broken_call(self, call: calls.Call, ran_for: float) -> None:
         """The upstream's connection broke under a request."""
         now = asyncio.get_running_loop().time()
-        self.evidence.note_broken(fingerprint(call), ran_for, now)
+        self.evidence.record_broken_request(fingerprint(call), ran_for, now)
 
-    def ended(self) -> None:
+    def record_upstream_end(self) -> None:
         """The upstream has ended: requests that began just before are suspect."""
         now = asyncio.get_running_loop().time()
-        if self.evidence.note_end(now, self.wall()):
+        if self.evidence.record_crash(now, self.wall()):
             self.meters.add("requests-suspected")
             self.log.note("requests-suspected", names=",".join(self.evidence.suspects))
             self.tell()
 
-    def answered(self, call: calls.Call) -> None:
+    def record_answer(self, call: calls.Call) -> None:
         """The upstream answered a request: it does not die of it."""
-        if not self.quarantine.told:
+        if not self.quarantine.reported:
             return
         name = fingerprint(call)
         self.quarantine.clear(name, self.wall())
@@ -80,11 +80,11 @@
     def take(self, node: str, found: tuple[quarantine.Suspect, ...]) -> None:
         """Take over the evidence of a node."""
         if node != self.node:
-            self.quarantine.take(node, found)
+            self.quarantine.apply(node, found)
 
     def tell(self) -> None:
         """Count the own evidence and let it be published."""
-        self.quarantine.take(self.node, self.own())
+        self.quarantine.apply(self.node, self.own())
         for listener in self.listeners:
             listener()
 
--- a/rattanridge/mesh/upstream.py
+++ b/rattanridge/mesh/upstream.py
@@ -54,9 +54,9 @@
         self.slots = 0
         self.sequence = -1
         self.cold_until = 0.0
-        self.heard_at = 0.0
+        self.heartbeat_at = 0.0
         self.answered_at = 0.0
-        self.asked_at = 0.0
+        self.busy_since = 0.0
         self.confirmed = False
         self.failures = 0
         self.paused_until = 0.0
@@ -75,11 +75,11 @@
         self.slots = slots
         leaving = state in (State.DRAINING, State.GONE)
         self.state = State(state) if leaving else State.READY
-        self.heard_at = self.now()
+        self.heartbeat_at = self.now()
         self.log.info("upstream-restored", endpoint=identity.endpoint)
         self.tell()
 
-    def hear(self, beat: heartbeats.Heartbeat) -> bool:
+    def record_heartbeat(self, beat: heartbeats.Heartbeat) -> bool:
         """Take a heartbeat; return False if it is older than what is known."""
         identity = Identity(beat.endpoint, beat.incarnation)
         if not self.is_news(identity, beat.sequence):
@@ -96,9 +96,9 @@
         self.slots = beat.slots
         self.state = State.DRAINING if beat.draining else State.READY
         self.address = beat.address or self.config.upstream
-        self.heard_at = self.now()
+        self.heartbeat_at = self.now()
         self.confirmed = True
-        self.cold_until = self.heard_at + beat.cold
+        self.cold_until = self.heartbeat_at + beat.cold_remaining
         if fresh:
             self.failures = 0
             self.paused_until = 0.0
@@ -126,7 +126,7 @@
             return False
         return sequence > self.sequence
 
-    def leave(self, endpoint: str, incarnation: int) -> None:
+    def record_farewell(self, endpoint: str, incarnation: int) -> None:
         """Take an upstream's farewell; one of an earlier incarnation is ignored."""
         known = self.identity
         if known is not None:
@@ -155,29 +155,29 @@
         if now < self.paused_until:
             return codes.Failure(codes.CONNECT_FAILED, "failed just now")
         interval = self.config.heartbeat_ms / 1000
-        if not self.confirmed and now - self.heard_at > TRUST * interval:
+        if not self.confirmed and now - self.heartbeat_at > TRUST * interval:
             return codes.Failure(codes.NO_ENDPOINT, "the record is not confirmed")
         return None
 
-    def asked(self, running: int) -> None:
+    def record_request(self, running: int) -> None:
         """A request is sent to it, beside ``running`` others."""
         if not running:
-            self.asked_at = self.now()
+            self.busy_since = self.now()
 
-    def doubted(self, running: int) -> bool:
+    def is_unresponsive(self, running: int) -> bool:
         """Whether it seems dead: no heartbeat, and no answer while requests run."""
         now = self.now()
-        silent = now - self.heard_at > SILENT * self.config.heartbeat_ms / 1000
-        owed_since = max(self.answered_at, self.asked_at)
+        silent = now - self.heartbeat_at > SILENT * self.config.heartbeat_ms / 1000
+        owed_since = max(self.answered_at, self.busy_since)
         return silent and running > 0 and now - owed_since > STUCK
 
-    def answered(self) -> None:
+    def record_answer(self) -> None:
         """An answer came from it."""
         self.failures = 0
         self.paused_until = 0.0
         self.answered_at = self.now()
 
-    def unreachable(self, why: str) -> None:
+    def record_unreachable(self, why: str) -> None:
         """It took no connection: send it nothing for a moment."""
         now = self.now()
         if now < self.paused_until:
@@ -187,7 +187,7 @@
         self.paused_until = now + pause
         self.log.note("upstream-unreachable", why=why, pause=pause)
 
-    def misdirected(self, identity: Identity | None) -> None:
+    def record_misdirected(self, identity: Identity | None) -> None:
         """Another upstream answers at the address: wait for its heartbeat."""
         if self.identity == identity and self.state is State.READY:
             self.state = State.UNKNOWN
--- a/rattanridge/mesh/versions.py
+++ b/rattanridge/mesh/versions.py
@@ -28,7 +28,7 @@
 
     def answer(self) -> orders.Status | None:
         """Return the status if it answers this order, not an earlier one."""
-        return answer_of(self.order, self.status)
+        return current_status(self.order, self.status)
 
     def state(self) -> str:
         """Return the state; an order without an answer to it is running."""
@@ -41,7 +41,7 @@
         return answer.share if answer is not None else 0.0
 
 
-def answer_of(
+def current_status(
     order: orders.Order, status: orders.Status | None
 ) -> orders.Status | None:
     """Return a status if it answers an order, not an earlier one."""
@@ -68,7 +68,7 @@
         self.random = random.Random()
         self.rollouts: dict[str, Rollout] = {}
 
-    def take_all(self, items: list[stores.Stored]) -> None:
+    def take_all(self, items: list[stores.StoredObject]) -> None:
         """Take over a whole list."""
         names = {item.name for item in items}
         for name in [name for name in self.rollouts if name not in names]:
@@ -76,7 +76,7 @@
         for item in items:
             self.take(item)
 
-    def take(self, item: stores.Stored) -> None:
+    def take(self, item: stores.StoredObject) -> None:
         """Take over one order or its status; an unreadable one is left out."""
         if item.deleted:
             self.rollouts.pop(item.name, None)
@@ -113,12 +113,12 @@
         """
         rollout = self.rollouts.get(service)
         if rollout is None:
-            return majority.keep_major(found)
+            return majority.keep_majority_version(found)
         target = rollout.order.version
         new = [item for item in found if item.version == target]
         old = [item for item in found if item.version != target]
         state = rollout.state()
-        if state == orders.TAKEN_BACK:
+        if state == orders.ROLLED_BACK:
             return old
         if state == orders.COMPLETED:
             return new or old
--- a/rattanridge/mesh/watching.py
+++ b/rattanridge/mesh/watching.py
@@ -16,8 +16,8 @@
 STORM_GAP = 2.0  # seconds; changes closer to one another are a storm
 STORM_SETTLE = 0.9  # seconds between two lists in a storm
 
-TakeAll = collections.abc.Callable[[list[stores.Stored]], None]
-TakeOne = collections.abc.Callable[[stores.Stored], None]
+TakeAll = collections.abc.Callable[[list[stores.StoredObject]], None]
+TakeOne = collections.abc.Callable[[stores.StoredObject], None]
 
 
 class Health:
@@ -109,7 +109,7 @@
         self.revision = 0
         self.newest = 0
         self.listed = False
-        self.heard_at = 0.0
+        self.answered_at = 0.0
         self.waiting: asyncio.Task | None = None
         self.doubted = False
         health.watches.append(self)
@@ -193,7 +193,7 @@
             self.waiting.cancel()
 
     def hear(self) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.answered_at = asyncio.get_running_loop().time()
         if self.heard is not None:
             self.heard()
         self.health.succeeded()
--- a/rattanridge/platform/configs.py
+++ b/rattanridge/platform/configs.py
@@ -107,7 +107,7 @@
         wire.limits.header_ms / 1000,
         wire.limits.idle_ms / 1000,
     )
-    return routes.Configuration(version, routes.index(found), services, limits)
+    return routes.Configuration(version, routes.group_by_host(found), services, limits)
 
 
 def decode_route(
--- a/rattanridge/platform/headers.py
+++ b/rattanridge/platform/headers.py
@@ -2,7 +2,7 @@
 
 ATTEMPT = "Attempt-Id"  # one sending of a request; a client's retry has a new one
 DEADLINE = "Deadline-Ms"  # milliseconds that the sender still waits
-PROOF = "Response-Signature"  # the upstream's signature of its answer
+SIGNATURE = "Response-Signature"  # the upstream's signature of its answer
 ENDPOINT = "Target-Instance"  # endpoint id; any other endpoint refuses with 421
 NOT_RUN = "Not-Executed"  # the upstream did not begin to work on the request
 CALLER = "Caller-Service"  # service of the host where the request began
--- a/rattanridge/platform/heartbeats.py
+++ b/rattanridge/platform/heartbeats.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from rattanridge.kernel import codes, reading
+from rattanridge.kernel import codes, untrusted_json
 
 PREFIX = "/api/instances/"
 READY_PATH = "/api/readyz"
@@ -34,7 +34,7 @@
     version: str
     slots: int
     draining: bool
-    cold: float
+    cold_remaining: float
 
 
 class WireHeartbeat(msgspec.Struct):
@@ -87,7 +87,7 @@
         beat.slots,
         DRAINING if beat.draining else READY,
         beat.sequence,
-        beat.cold * 1000,
+        beat.cold_remaining * 1000,
         zone,
         beat.incarnation,
     )
@@ -96,5 +96,5 @@
 
 def decode_leave(data: bytes) -> int:
     """Return the incarnation that a farewell names; 0 if it names none."""
-    wire = reading.read_json(data, WireLeave)
+    wire = untrusted_json.decode_or_none(data, WireLeave)
     return wire.born if wire is not None else 0
--- a/rattanridge/platform/orders.py
+++ b/rattanridge/platform/orders.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from rattanridge.kernel import codes, reading
+from rattanridge.kernel import codes, untrusted_json
 
 KIND = "rollouts"
 RUNNING = "running"
 COMPLETED = "completed"
-TAKEN_BACK = "rolled_back"
+ROLLED_BACK = "rolled_back"
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
@@ -92,7 +92,7 @@
 
 def decode_status(data: bytes) -> Status | None:
     """Decode a status; None if there is none or it is unreadable."""
-    wire = reading.read_json(data, WireStatus)
+    wire = untrusted_json.decode_or_none(data, WireStatus)
     if wire is None:
         return None
     return Status(*msgspec.structs.astuple(wire))
--- a/rattanridge/platform/store.py
+++ b/rattanridge/platform/store.py
@@ -9,10 +9,10 @@
 import aiohttp
 import msgspec
 
-from rattanridge.kernel import codes, reading
+from rattanridge.kernel import codes, untrusted_json
 
 NULL = b"null"
-ANSWER_BYTES = 33_554_432  # of the largest answer that is taken
+MAX_ANSWER_BYTES = 33_554_432  # of the largest answer that is taken
 CALL_TIMEOUT = 2.0  # seconds for an answer to a call that is not a watch
 WATCH_MARGIN = 0.8  # seconds that a watch may take longer than it was asked to wait
 CONNECT_TIMEOUT = 1.0  # seconds
@@ -27,7 +27,7 @@
 }
 
 # Failures of which another try may be free.
-PASSING = (codes.PLATFORM_DOWN, codes.PLATFORM_BUSY)
+TRANSIENT_CODES = (codes.PLATFORM_DOWN, codes.PLATFORM_BUSY)
 
 # Parameters of a query.
 AFTER = "after"
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Stored:
+class StoredObject:
     """One object of the store.
 
     :param revision: the store's revision at the object's last change; 0 for an
@@ -59,7 +59,7 @@
 class Listing:
     """Objects of one kind, all or the changed ones, up to a revision of the store."""
 
-    items: list[Stored]
+    items: list[StoredObject]
     revision: int
 
 
@@ -101,12 +101,12 @@
     revision: int = msgspec.field(name="CurrentRev", default=0)
 
 
-def decode_object(data: bytes, deleted: bool = False) -> Stored | None:
+def decode_object(data: bytes, deleted: bool = False) -> StoredObject | None:
     """Decode one object; None if even its name cannot be read."""
-    wire = reading.read_json(data, WireObject)
+    wire = untrusted_json.decode_or_none(data, WireObject)
     if wire is None:
         return None
-    return Stored(
+    return StoredObject(
         wire.metadata.name,
         wire.metadata.revision,
         bytes(wire.spec),
@@ -180,7 +180,7 @@
 
     async def list(self, kind: str) -> Listing:
         """Return all objects of a kind that can be read."""
-        items: list[Stored] = []
+        items: list[StoredObject] = []
         query: dict[str, str] = {}
         while True:
             wire = decode(await self.call("list", "GET", kind, query), WireListing)
@@ -214,7 +214,7 @@
         page = [decode_object(bytes(item.object), item.deleted) for item in wire.events]
         return Listing([item for item in page if item is not None], wire.revision)
 
-    async def get(self, kind: str, name: str) -> Stored | None:
+    async def get(self, kind: str, name: str) -> StoredObject | None:
         """Return one object, or None if there is none."""
         try:
             data = await self.call("get", "GET", f"{kind}/{quote(name)}")
@@ -224,12 +224,14 @@
             raise
         return decode_object(data)
 
-    async def create(self, kind: str, name: str, spec: bytes) -> Stored:
+    async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
         """Create an object; ``platform-conflict`` if there is one already."""
         body = encode(name, 0, spec=spec)
         return self.stored(await self.call("create", "POST", kind, body=body))
 
-    async def replace(self, kind: str, name: str, spec: bytes, revision: int) -> Stored:
+    async def replace(
+        self, kind: str, name: str, spec: bytes, revision: int
+    ) -> StoredObject:
         """Replace the spec if the object's revision is still the one given."""
         body = encode(name, revision, spec=spec)
         path = f"{kind}/{quote(name)}"
@@ -237,7 +239,7 @@
 
     async def replace_status(
         self, kind: str, name: str, status: bytes, revision: int
-    ) -> Stored:
+    ) -> StoredObject:
         """Replace the status if the object's revision is still the one given."""
         body = encode(name, revision, status=status)
         path = f"{kind}/{quote(name)}/status"
@@ -248,7 +250,7 @@
         query = {REVISION: str(revision)}
         await self.call("delete", "DELETE", f"{kind}/{quote(name)}", query)
 
-    def stored(self, data: bytes) -> Stored:
+    def stored(self, data: bytes) -> StoredObject:
         """Decode the object that a write returns."""
         found = decode_object(data)
         if found is None:
@@ -296,7 +298,7 @@
     while part := await response.content.readany():
         parts.append(part)
         size += len(part)
-        if size > ANSWER_BYTES:
+        if size > MAX_ANSWER_BYTES:
             raise aiohttp.ClientPayloadError("answer too large")
     return b"".join(parts)
 
--- a/rattanridge/policies/sharing.py
+++ b/rattanridge/policies/budget_nodes.py
@@ -15,7 +15,7 @@
 STALE = 8.0  # seconds that what the store tells may be behind
 
 
-class Sharers:
+class BudgetNodes:
     """The nodes among which one node divides.
 
     All times are seconds of one clock that does not stand still while the host is
@@ -31,33 +31,33 @@
         self.present: set[str] = set()
         self.left: dict[str, float] = {}
         self.heard_at = float("-inf")
-        self.known_since = float("inf")
+        self.listed_since = float("inf")
 
     def set_span(self, span: float) -> None:
         """Take over another span."""
-        self.memory = span + FRESH + STALE
+        self.retention = span + FRESH + STALE
 
-    def hear(self, now: float) -> None:
+    def record_contact(self, now: float) -> None:
         """The store answered; what is known was true a short time ago."""
         self.heard_at = now
 
-    def see(self, names: collections.abc.Collection[str], now: float) -> None:
+    def apply_names(self, names: collections.abc.Collection[str], now: float) -> None:
         """Take over the names of all nodes, as the store tells them."""
-        self.hear(now)
+        self.record_contact(now)
         present = set(names)
         for name in self.present - present:
             self.left[name] = now
         if self.name not in present:
-            self.known_since = float("inf")
+            self.listed_since = float("inf")
         elif self.name not in self.present:
-            self.known_since = now
+            self.listed_since = now
         self.present = present
 
     def count(self, now: float) -> int:
         """Return among how many nodes to divide; 0 if this one takes no part."""
-        if now - self.heard_at > FRESH or now - self.known_since <= self.memory:
+        if now - self.heard_at > FRESH or now - self.listed_since <= self.retention:
             return 0
-        gone = [name for name, at in self.left.items() if now - at > self.memory]
+        gone = [name for name, at in self.left.items() if now - at > self.retention]
         for name in gone:
             del self.left[name]
         return len(self.present | self.left.keys())
--- a/rattanridge/policies/evidence.py
+++ b/rattanridge/policies/evidence.py
@@ -32,7 +32,7 @@
     errors: int = 0
     times: dict[int, int] = {}
 
-    def add(self, failed: bool, seconds: float | None) -> None:
+    def record_call(self, failed: bool, seconds: float | None) -> None:
         """Count one request; ``seconds`` is None if its time tells nothing."""
         self.calls += 1
         self.errors += failed
@@ -77,16 +77,16 @@
         return self.errors / self.calls if self.calls else 0.0
 
 
-Routes = dict[str, Counts]
+CountsByRoute = dict[str, Counts]
 
 
-def merge(target: Routes, other: Routes) -> None:
+def merge(target: CountsByRoute, other: CountsByRoute) -> None:
     """Add counts by route."""
     for route, counts in other.items():
         target.setdefault(route, Counts()).merge(counts)
 
 
-def find_fault(old: Routes, new: Routes) -> str:
+def find_fault(old: CountsByRoute, new: CountsByRoute) -> str:
     """Return why the new version is held to be bad; empty if it is not."""
     for route, counts in new.items():
         known = old.get(route, Counts())
--- a/rattanridge/policies/resting.py
+++ b/rattanridge/policies/idle_timeout.py
@@ -12,14 +12,14 @@
 MEMORY = 30.0  # seconds for which a loss counts
 
 
-class Resting:
+class IdleTimeout:
     """What is known of one upstream's connections."""
 
     def __init__(self) -> None:
         self.broke_after = float("inf")
         self.broke_at = float("-inf")
 
-    def note_broken(self, rested: float, lasted: float, now: float) -> bool:
+    def record_break(self, rested: float, lasted: float, now: float) -> bool:
         """Learn from a connection that broke; return whether it was forgotten.
 
         :param rested: seconds without use before the request was sent.
@@ -36,7 +36,7 @@
         """Whether the upstream forgot a connection lately."""
         return now - self.broke_at < MEMORY
 
-    def longest(self, careful: bool, now: float) -> float:
+    def max_idle(self, careful: bool, now: float) -> float:
         """Return the seconds after which a connection is not used again.
 
         :param careful: whether the request must not repeat.
--- a/rattanridge/policies/majority.py
+++ b/rattanridge/policies/majority.py
@@ -13,7 +13,7 @@
 T = typing.TypeVar("T", bound=Versioned)
 
 
-def keep_major(found: list[T]) -> list[T]:
+def keep_majority_version(found: list[T]) -> list[T]:
     """Keep the version with most endpoints: another one waits for its rollout."""
     if not found or all(item.version == found[0].version for item in found):
         return found
--- a/rattanridge/policies/placement.py
+++ b/rattanridge/policies/placement.py
@@ -24,7 +24,7 @@
 ZONE_PENALTY = 0.2  # of the target latency: what another zone must be better by
 SHED_PENALTY = 2.0  # of the target latency: for an endpoint that sheds everything
 JITTER = 0.1  # of the target latency: spreads entries that know the same
-DEFAULT_WORK = 0.1  # seconds, before a route's own time is known
+DEFAULT_PROCESSING_TIME = 0.1  # seconds, before a route's own time is known
 
 
 @dataclasses.dataclass(slots=True)
@@ -89,26 +89,26 @@
         """Return the seconds for which it has owed an answer."""
         return now - self.heard_at if self.in_flight else 0.0
 
-    def note_load(self, load: Load, now: float) -> None:
+    def record_load(self, load: Load, now: float) -> None:
         """Take over the load that came with an answer."""
         self.load = load
         self.load_at = now
         self.load_in_flight = self.in_flight
 
-    def note_work(self, ratio: float, now: float) -> None:
+    def record_latency_ratio(self, ratio: float, now: float) -> None:
         """Learn from one answer; ``ratio`` is its time over the route's mean."""
         low, high = FACTOR_RANGE
-        known = self.speed(now)
+        known = self.latency_ratio(now)
         wanted = known + FACTOR_WEIGHT * (ratio - known)
         self.factor = min(max(wanted, low), high)
         self.factor_at = now
 
-    def speed(self, now: float) -> float:
+    def latency_ratio(self, now: float) -> float:
         """Return its time over the mean of all; old evidence fades towards 1."""
         kept = 0.5 ** ((now - self.factor_at) / FACTOR_MEMORY)
         return 1.0 + (self.factor - 1.0) * kept
 
-    def note_shed(self, shed: bool, now: float) -> None:
+    def record_shed(self, shed: bool, now: float) -> None:
         """Learn whether the endpoint turned a request away."""
         known = self.shed_share(now)
         self.shed = known + SHED_WEIGHT * (float(shed) - known)
@@ -118,7 +118,7 @@
         """Return the part of requests that it turns away, or fails."""
         return self.shed * 0.5 ** ((now - self.shed_at) / SHED_MEMORY)
 
-    def note_unreachable(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Send it nothing for a while; longer each time it fails again."""
         if now < self.paused_until:
             return
@@ -126,7 +126,7 @@
         self.failures += 1
         self.paused_until = now + pause
 
-    def note_reached(self) -> None:
+    def record_reachable(self) -> None:
         """The node beside it answered."""
         self.failures = 0
         self.paused_until = 0.0
@@ -203,7 +203,7 @@
 
         :param target: seconds within which an answer is timely.
         """
-        work = self.mean(route).seconds or DEFAULT_WORK
+        work = self.mean(route).seconds or DEFAULT_PROCESSING_TIME
         best = None
         least = (True, float("inf"))
         for item in found:
@@ -216,7 +216,7 @@
 
     def cost(self, item: Candidate, work: float, target: float, now: float) -> float:
         """Return the expected seconds, and what else speaks against it."""
-        usual = work * item.speed(now)
+        usual = work * item.latency_ratio(now)
         expected = usual + max(
             item.wait(work, now), item.silence(now) - PATIENCE * usual
         )
@@ -225,11 +225,13 @@
         expected += SHED_PENALTY * target * item.shed_share(now)
         return expected + JITTER * target * self.random.random()
 
-    def learn(self, item: Candidate, route: str, seconds: float, now: float) -> None:
+    def record_processing_time(
+        self, item: Candidate, route: str, seconds: float, now: float
+    ) -> None:
         """Learn from an answer that took the endpoint ``seconds``."""
         mean = self.mean(route)
         mean.note(seconds)
-        item.note_work(seconds / mean.seconds, now)
+        item.record_latency_ratio(seconds / mean.seconds, now)
 
 
 @PLACERS.register("any-zone")
@@ -243,7 +245,9 @@
 class LeastBusy(Placer):
     """Chooses by load alone: neither speed nor shed requests count."""
 
-    def learn(self, item: Candidate, route: str, seconds: float, now: float) -> None:
+    def record_processing_time(
+        self, item: Candidate, route: str, seconds: float, now: float
+    ) -> None:
         """Learn the route's mean time only."""
         self.mean(route).note(seconds)
 
--- a/rattanridge/policies/quarantine.py
+++ b/rattanridge/policies/quarantine.py
@@ -14,7 +14,7 @@
 CRASHES = 2  # ends of upstreams after which a request is held back
 BEGUN_WITHIN = 0.25  # seconds before an upstream's end that make a request suspect
 CONFIRM_WITHIN = 3.0  # seconds in which the end of an upstream must show
-EXPIRY = 60.0  # seconds that evidence is kept
+EVIDENCE_TTL = 60.0  # seconds that evidence is kept
 SUSPECTS_MOST = 32  # fingerprints that one node tells
 
 
@@ -37,7 +37,7 @@
     return hashing.hash_parts(method.encode(), name, body, size=FINGERPRINT_BYTES)
 
 
-class Evidence:
+class CrashEvidence:
     """What one node saw its upstream die of.
 
     A connection that breaks is no proof. The end of the upstream shows when it
@@ -48,19 +48,19 @@
         self.pending: list[tuple[float, str]] = []
         self.suspects: dict[str, Suspect] = {}
 
-    def note_broken(self, name: str, ran_for: float, now: float) -> None:
+    def record_broken_request(self, name: str, ran_for: float, now: float) -> None:
         """A connection broke under a request that ran for some seconds."""
         if ran_for <= BEGUN_WITHIN:
             self.pending.append((now, name))
 
-    def note_end(self, now: float, wall: float) -> bool:
+    def record_crash(self, now: float, wall: float) -> bool:
         """The upstream has ended; return whether the suspects changed."""
         found = {name for at, name in self.pending if now - at <= CONFIRM_WITHIN}
         self.pending.clear()
         for name in found:
             known = self.suspects.get(name)
             crashes = known.crashes + 1 if known is not None else 1
-            self.suspects[name] = Suspect(name, crashes, int(wall + EXPIRY))
+            self.suspects[name] = Suspect(name, crashes, int(wall + EVIDENCE_TTL))
         while len(self.suspects) > SUSPECTS_MOST:
             self.suspects.pop(next(iter(self.suspects)))
         return bool(found)
@@ -81,30 +81,30 @@
     """The evidence of all nodes, as one node knows it."""
 
     def __init__(self) -> None:
-        self.told: dict[str, tuple[Suspect, ...]] = {}
+        self.reported: dict[str, tuple[Suspect, ...]] = {}
         self.cleared: dict[str, float] = {}
 
-    def take(self, node: str, suspects: tuple[Suspect, ...]) -> None:
+    def apply(self, node: str, suspects: tuple[Suspect, ...]) -> None:
         """Take over what a node tells; nothing is told by a node that is gone."""
         if suspects:
-            self.told[node] = suspects
+            self.reported[node] = suspects
         else:
-            self.told.pop(node, None)
+            self.reported.pop(node, None)
 
     def clear(self, name: str, wall: float) -> None:
         """An upstream answered a request: what others saw counts no more."""
         self.cleared = {
             known: until for known, until in self.cleared.items() if until > wall
         }
-        self.cleared[name] = wall + EXPIRY
+        self.cleared[name] = wall + EVIDENCE_TTL
 
-    def holds(self, name: str, wall: float) -> bool:
+    def is_quarantined(self, name: str, wall: float) -> bool:
         """Whether a request is held back."""
         if self.cleared.get(name, 0.0) > wall:
             return False
         crashes = sum(
             item.crashes
-            for suspects in self.told.values()
+            for suspects in self.reported.values()
             for item in suspects
             if item.fingerprint == name and item.until > wall
         )
--- a/rattanridge/policies/queueing.py
+++ b/rattanridge/policies/queueing.py
@@ -12,7 +12,7 @@
 from rattanridge.kernel import codes, registry
 
 MEAN_WEIGHT = 0.1  # of one request in a route's mean time
-DEFAULT_WORK = 0.05  # seconds, before a route's own time is known
+DEFAULT_PROCESSING_TIME = 0.05  # seconds, before a route's own time is known
 LATE_SHARE = 0.5  # of its time left that a request may wait if it will be late
 LEAST_RETRY_AFTER = 0.05  # seconds
 LONGEST_RETRY_AFTER = 5.0  # seconds
@@ -72,7 +72,7 @@
     One that will be late may wait for a part of its time only.
     """
     wait = queue.wait_of(ticket)
-    finish = now + wait + queue.times.of(ticket.route)
+    finish = now + wait + queue.times.mean_of(ticket.route)
     late = finish > ticket.timely_until and not ticket.nested
     late_wait = LATE_SHARE * (ticket.deadline - now)
     return finish <= ticket.deadline and not (late and wait > late_wait)
@@ -81,7 +81,7 @@
 @ADMISSIONS.register("until-deadline")
 def admit_until_deadline(queue: "Queue", ticket: Ticket, now: float) -> bool:
     """Whether a request may wait: as long as its deadline can be met."""
-    work = queue.times.of(ticket.route)
+    work = queue.times.mean_of(ticket.route)
     return now + queue.wait_of(ticket) + work <= ticket.deadline
 
 
@@ -107,16 +107,16 @@
         self.means: dict[str, float] = {}
         self.overall = 0.0
 
-    def note(self, route: str, seconds: float) -> None:
+    def record(self, route: str, seconds: float) -> None:
         """Learn from a request that ran to its end."""
         known = self.means.get(route, seconds)
         self.means[route] = known + MEAN_WEIGHT * (seconds - known)
         self.overall = (self.overall or seconds) * (1 - MEAN_WEIGHT)
         self.overall += MEAN_WEIGHT * seconds
 
-    def of(self, route: str) -> float:
+    def mean_of(self, route: str) -> float:
         """Return the seconds that a request of a route takes."""
-        return self.means.get(route) or self.overall or DEFAULT_WORK
+        return self.means.get(route) or self.overall or DEFAULT_PROCESSING_TIME
 
 
 class Queue:
@@ -139,7 +139,7 @@
         self.times = Times()
         self.numbers = 0
 
-    async def enter(self, ticket: Ticket) -> None:
+    async def acquire(self, ticket: Ticket) -> None:
         """Wait for a slot; raise ``queue-full`` if there is none in time."""
         now = asyncio.get_running_loop().time()
         if self.running < self.slots and not self.waiting:
@@ -166,7 +166,7 @@
         """Return the seconds until a request of this order would get a slot."""
         place = self.order(ticket, False)
         ahead = sum(
-            self.times.of(item.route)
+            self.times.mean_of(item.route)
             for item in self.waiting
             if self.order(item, False) < place
         )
@@ -174,22 +174,22 @@
 
     def mean(self) -> float:
         """Return the seconds that any request takes."""
-        return self.times.overall or DEFAULT_WORK
+        return self.times.overall or DEFAULT_PROCESSING_TIME
 
-    def wait(self) -> float:
+    def expected_wait(self) -> float:
         """Return the seconds that a request without a privilege would wait."""
         if self.running < self.slots:
             return 0.0
-        ahead = sum(self.times.of(item.route) for item in self.waiting)
+        ahead = sum(self.times.mean_of(item.route) for item in self.waiting)
         return (ahead + self.mean()) / self.slots
 
     def retry_after(self) -> float:
         """Return the seconds until the queue as it stands has drained."""
-        return min(max(self.wait(), LEAST_RETRY_AFTER), LONGEST_RETRY_AFTER)
+        return min(max(self.expected_wait(), LEAST_RETRY_AFTER), LONGEST_RETRY_AFTER)
 
     def watch(self, ticket: Ticket, now: float) -> None:
         """Refuse a waiting request as soon as it can't be finished any more."""
-        latest = ticket.deadline - FINISH_SHARE * self.times.of(ticket.route)
+        latest = ticket.deadline - FINISH_SHARE * self.times.mean_of(ticket.route)
         loop = asyncio.get_running_loop()
         handle = loop.call_at(max(latest, now), self.expire, ticket)
         ticket.ready.add_done_callback(lambda done: handle.cancel())
@@ -217,9 +217,9 @@
         if ticket in self.waiting:
             self.waiting.remove(ticket)
         elif not ticket.ready.cancelled() and ticket.ready.exception() is None:
-            self.leave()
+            self.release()
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Give a slot back."""
         self.running -= 1
         self.grant()
@@ -245,7 +245,7 @@
         A nested call is never late: its parent, whose work would be lost with it,
         may still be timely.
         """
-        finish = now + self.times.of(ticket.route)
+        finish = now + self.times.mean_of(ticket.route)
         return not ticket.nested and finish > ticket.timely_until
 
     def next(self, now: float) -> Ticket:
--- a/rattanridge/policies/ramp.py
+++ b/rattanridge/policies/ramp.py
@@ -57,14 +57,16 @@
     began: float = -1.0
     step: int = 0
     step_at: float = 0.0
-    room: float = 1.0
+    capacity_ratio: float = 1.0
 
     def usable(self) -> float:
         """Return the seconds from the first endpoint until all must be done."""
         reserve = max(END_RESERVE * self.duration, LEAST_RESERVE)
         return max(self.duration - reserve - max(self.began, 0.0), 0.0)
 
-    def look(self, endpoints: int, old: evidence.Routes, new: evidence.Routes) -> None:
+    def advance(
+        self, endpoints: int, old: evidence.CountsByRoute, new: evidence.CountsByRoute
+    ) -> None:
         """Go on to the next step if the one in force has lasted long enough."""
         if self.began < 0:
             if not endpoints:
@@ -79,7 +81,7 @@
         self.step += 1
         self.step_at = self.elapsed
 
-    def proved(self, old: evidence.Routes, new: evidence.Routes) -> bool:
+    def proved(self, old: evidence.CountsByRoute, new: evidence.CountsByRoute) -> bool:
         """Whether each route in use was tried, or there is no more time for it."""
         if self.elapsed >= self.began + (1.0 - STEPS[-1].part / 2) * self.usable():
             return True
@@ -98,13 +100,13 @@
             # Where the version has few endpoints, one of them would get the share
             # of a version that has already proved itself.
             return min(1.0 / max(endpoints, 1), STEPS[self.step + 1].share)
-        if self.has_room():
+        if self.has_capacity():
             return step.share
-        return min(step.share, self.room / (1.0 + self.room))
+        return min(step.share, self.capacity_ratio / (1.0 + self.capacity_ratio))
 
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the new version could carry the load of the old one."""
-        return self.room >= LEAST_ROOM
+        return self.capacity_ratio >= LEAST_ROOM
 
     def one_endpoint(self) -> bool:
         """Whether only one of the new endpoints is used."""
@@ -112,7 +114,7 @@
 
     def done(self) -> bool:
         """Whether the last step has lasted long enough."""
-        if self.began < 0 or self.step < len(STEPS) - 1 or not self.has_room():
+        if self.began < 0 or self.step < len(STEPS) - 1 or not self.has_capacity():
             return False
         held = self.elapsed - self.step_at
         return held >= STEPS[-1].part * self.usable() or self.out_of_time()
--- a/rattanridge/policies/repeats.py
+++ b/rattanridge/policies/retry_budget.py
@@ -37,7 +37,7 @@
     """
 
     ratio: float
-    least: float
+    min_retries: float
     window: float
 
     def span(self) -> float:
@@ -61,16 +61,18 @@
         # Repeats that requests pay for: start of the bucket, and how many are left.
         self.earned: collections.deque[list[float]] = collections.deque()
         # Repeats taken of the fixed rest: when, and how much.
-        self.lent: collections.deque[tuple[float, float]] = collections.deque()
+        self.allowance_spent: collections.deque[tuple[float, float]] = (
+            collections.deque()
+        )
 
-    def note_request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Count a request of a caller for the service."""
         start = now - now % (self.settings.window / BUCKETS)
         if not self.earned or self.earned[-1][0] != start:
             self.earned.append([start, 0.0])
         self.earned[-1][1] += self.settings.ratio * PART
 
-    def left(self, now: float) -> float:
+    def earned_left(self, now: float) -> float:
         """Return the repeats that requests still pay for."""
         oldest = now - self.settings.window * VALID
         while self.earned and self.earned[0][0] < oldest:
@@ -79,24 +81,27 @@
 
     def rest(self, nodes: int, now: float) -> float:
         """Return what is left of the node's part of the fixed rest."""
-        while self.lent and self.lent[0][0] <= now - self.settings.span():
-            self.lent.popleft()
+        while (
+            self.allowance_spent
+            and self.allowance_spent[0][0] <= now - self.settings.span()
+        ):
+            self.allowance_spent.popleft()
         if not nodes:
             return 0.0
-        lent = sum(amount for _, amount in self.lent)
-        return max(self.settings.least / nodes - lent, 0.0)
+        lent = sum(amount for _, amount in self.allowance_spent)
+        return max(self.settings.min_retries / nodes - lent, 0.0)
 
-    def take(self, nodes: int, now: float) -> bool:
+    def try_spend(self, nodes: int, now: float) -> bool:
         """Spend one repeat, if there is one left.
 
         :param nodes: nodes that share the fixed rest; 0 if this one has no part of it.
         """
-        left = self.left(now)
+        left = self.earned_left(now)
         if left + self.rest(nodes, now) < 1 - ROUNDING:
             return False
         self.pay(min(left, 1.0))
         if left < 1:
-            self.lent.append((now, 1.0 - left))
+            self.allowance_spent.append((now, 1.0 - left))
         return True
 
     def pay(self, amount: float) -> None:
@@ -110,9 +115,9 @@
 
 
 @BUDGETS.register("none")
-class NoRepeats(Budget):
+class NoRetries(Budget):
     """Allows no repeat."""
 
-    def take(self, nodes: int, now: float) -> bool:
+    def try_spend(self, nodes: int, now: float) -> bool:
         """Refuse."""
         return False
--- a/rattanridge/soak/parts.py
+++ b/rattanridge/soak/parts.py
@@ -190,7 +190,7 @@
 
     async def state(self, host: Host) -> configs.State | None:
         """Return what a node has in force; None if it does not answer."""
-        url = f"http://{host.listen['hops']}{configs.STATE_PAGE}"
+        url = f"http://{host.listen['hops']}{configs.STATE_PATH}"
         limit = aiohttp.ClientTimeout(total=1.0)
         try:
             async with self.session.get(url, timeout=limit) as response:
--- a/rattanridge/standin/upstream.py
+++ b/rattanridge/standin/upstream.py
@@ -342,7 +342,7 @@
         self, request: aiohttp.web.BaseRequest, run: Run, hit: bool
     ) -> aiohttp.web.Response:
         """Answer a request that ran."""
-        marks = {headers.ATTEMPT: run.attempt, headers.PROOF: PROOF}
+        marks = {headers.ATTEMPT: run.attempt, headers.SIGNATURE: PROOF}
         if hit and self.random.random() < self.faults.error_rate:
             self.counts["errors"] += 1
             return aiohttp.web.Response(status=500, headers=marks, text="fault")
@@ -359,12 +359,12 @@
         if self.faults.lose:
             request.transport.abort()
         if self.faults.unproved:
-            marks.pop(headers.PROOF)
+            marks.pop(headers.SIGNATURE)
         if self.faults.cut:
             request.transport.write(raw_answer(marks, b"half", 100))
             request.transport.close()
         if self.faults.stray:
-            other = {headers.ATTEMPT: "another", headers.PROOF: "other"}
+            other = {headers.ATTEMPT: "another", headers.SIGNATURE: "other"}
             request.transport.write(raw_answer(other, b"wrong", 5))
 
 
--- a/rattanridge/web/bodies.py
+++ b/rattanridge/web/bodies.py
@@ -15,14 +15,16 @@
 
 
 async def read_body(
-    request: aiohttp.web.BaseRequest, limit: int, held: memory.Held | None = None
+    request: aiohttp.web.BaseRequest,
+    limit: int,
+    held: memory.MemoryBudget | None = None,
 ) -> bytes:
     """Read a request's body whole; ``held.release`` it after use.
 
     :param limit: most bytes.
     :param held: counts the bytes; a small body need not be counted.
     """
-    held = held or memory.Held(limit)
+    held = held or memory.MemoryBudget(limit)
     length = request.content_length
     if (length or 0) > limit:
         raise codes.Failure(codes.BODY_TOO_LARGE)
@@ -37,12 +39,12 @@
             size += len(part)
             if size > limit:
                 raise codes.Failure(codes.BODY_TOO_LARGE)
-            if size > memory.SMALL:
-                held.take(size - taken)
+            if size > memory.SMALL_BODY_BYTES:
+                held.reserve(size - taken)
                 taken = size
             parts.append(part)
     except BaseException as error:
-        held.give(taken)
+        held.free(taken)
         if isinstance(error, BROKEN):
             raise codes.Failure(codes.BODY_CUT)
         raise
--- a/rattanridge/web/memory.py
+++ b/rattanridge/web/memory.py
@@ -2,10 +2,10 @@
 
 from rattanridge.kernel import codes
 
-SMALL = 65_536  # bytes; smaller bodies are bounded by the connections
+SMALL_BODY_BYTES = 65_536  # bytes; smaller bodies are bounded by the connections
 
 
-class Held:
+class MemoryBudget:
     """Counts the bytes of bodies that are held whole.
 
     :param limit: most bytes at once.
@@ -15,7 +15,9 @@
         self.limit = limit
         self.used = 0
 
-    def take(self, size: int, ran: codes.Ran = codes.Ran.NOT_RUN) -> None:
+    def reserve(
+        self, size: int, ran: codes.Execution = codes.Execution.NOT_RUN
+    ) -> None:
         """Count more bytes; raise ``memory-full`` over the limit.
 
         :param ran: what is known of the work that the bytes belong to.
@@ -24,11 +26,11 @@
             raise codes.Failure(codes.MEMORY_FULL, retry_after=1.0, ran=ran)
         self.used += size
 
-    def give(self, size: int) -> None:
+    def free(self, size: int) -> None:
         """Give counted bytes back."""
         self.used -= size
 
-    def release(self, body: bytes) -> None:
+    def free_body(self, body: bytes) -> None:
         """Give back the bytes of a request's body that was read whole."""
-        if len(body) > SMALL:
+        if len(body) > SMALL_BODY_BYTES:
             self.used -= len(body)
--- a/rattanridge/web/server.py
+++ b/rattanridge/web/server.py
@@ -191,7 +191,7 @@
             failure = unreadable(error)
         else:
             failure = codes.Failure(
-                codes.INTERNAL, type(error).__name__, ran=codes.Ran.UNKNOWN
+                codes.INTERNAL, type(error).__name__, ran=codes.Execution.UNKNOWN
             )
         self.counters.add(f"http.refused.{failure.code.name}")
         self.log.note(
--- a/tests/mesh_world.py
+++ b/tests/mesh_world.py
@@ -28,13 +28,13 @@
     return msgspec.json.encode(wire)
 
 
-PLAIN = (
+DEFAULT_ROUTES = (
     route("lookup", "/lookup/", "registry", attempts=2),
     route("order", "/order/", "workshop", "unsafe"),
 )
 
 
-def spoil(upstream, fault):
+def inject_fault(upstream, fault):
     """Let an upstream misbehave."""
     if fault == "fail":
         upstream.faults.error_rate = 1.0
@@ -65,7 +65,7 @@
 
 def use_up(world, node=0):
     """Spend all repeats that a node has left."""
-    while world.nodes[node].attempts.may_spend(made_call(world)):
+    while world.nodes[node].dispatcher.may_spend(made_call(world)):
         pass
 
 
@@ -97,12 +97,14 @@
         await self.store.start()
         self.session = aiohttp.ClientSession()
 
-    async def start(self, *services, zones=("a", "b"), paths=PLAIN, slots=4, **more):
+    async def start(
+        self, *services, zones=("a", "b"), paths=DEFAULT_ROUTES, slots=4, **more
+    ):
         await self.open()
         await self.configure(1, *paths)
         for index, service in enumerate(services):
             await self.add(service, zones[index % len(zones)], slots, **more)
-        await self.settle()
+        await self.wait_for_endpoints()
 
     async def add(self, service, zone="a", slots=4, version="v1", **more):
         shape = upstreams.Shape(service, version, slots, work=0.01)
@@ -111,14 +113,14 @@
         await self.wait(host.node.ready)
         return host.node
 
-    async def settle(self):
+    async def wait_for_endpoints(self):
         """Wait until all nodes know each other."""
         await self.fleet.wait_endpoints()
 
     def age(self):
         """Let all nodes have run, and known each other, for long."""
         for node in self.nodes:
-            node.membership.sharers.known_since = float("-inf")
+            node.membership.sharers.listed_since = float("-inf")
             node.exit.parents.started_at = float("-inf")
 
     async def configure(self, version, *paths):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -54,7 +54,7 @@
     def test_decoded(self):
         found = heartbeats.decode("i-1", msgspec.json.encode(BEAT))
         assert (found.endpoint, found.incarnation, found.sequence) == ("i-1", 99, 4)
-        assert (found.slots, found.draining, found.cold) == (6, False, 1.5)
+        assert (found.slots, found.draining, found.cold_remaining) == (6, False, 1.5)
 
     @pytest.mark.parametrize(
         "change",
@@ -148,7 +148,7 @@
             key=key,
         )
         made = routes.Configuration(
-            7, routes.index([route]), {"s": routes.Service("s")}
+            7, routes.group_by_host([route]), {"s": routes.Service("s")}
         )
         assert configs.decode(configs.encode(made)) == made
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -64,7 +64,7 @@
         for name in ("one", "two", "three"):
             response = await post(session, running, name)
             assert response.status == 200
-            assert response.headers[headers.RAN] == codes.Ran.RAN
+            assert response.headers[headers.RAN] == codes.Execution.RAN
         assert response.headers[headers.RECORDED] == "1"
         assert len(running.hosts["one"].upstream.runs) == 1
 
@@ -101,7 +101,7 @@
         upstream = running.hosts["one"].upstream
         upstream.faults.shed = True
         response = await post(session, running, "two")
-        assert response.headers[headers.RAN] == codes.Ran.NOT_RUN
+        assert response.headers[headers.RAN] == codes.Execution.NOT_RUN
         upstream.faults.shed = False
         await running.wait(lambda: not stored_claims(running))
         assert (await post(session, running, "three")).status == 200
@@ -113,14 +113,14 @@
         upstream = running.hosts["one"].upstream
         upstream.faults.lose = True
         response = await post(session, running, "two")
-        assert response.headers[headers.RAN] == codes.Ran.UNKNOWN
+        assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         upstream.faults.lose = False
         await running.wait(
             lambda: stored_claims(running)[0].state is claim.State.UNKNOWN
         )
         response = await post(session, running, "three")
         assert response.headers[headers.CODE] == str(codes.ALREADY_ACCEPTED.number)
-        assert response.headers[headers.RAN] == codes.Ran.UNKNOWN
+        assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         assert len(upstream.runs) == 1
 
     async def test_caller_gone_then_resent_elsewhere(self, running, session):
@@ -142,7 +142,7 @@
         await running.remove("two")
         await asyncio.gather(first, return_exceptions=True)
         response = await post(session, running, "three")
-        assert response.headers[headers.RAN] != codes.Ran.NOT_RUN
+        assert response.headers[headers.RAN] != codes.Execution.NOT_RUN
         assert len(upstream.runs) == 1
 
 
@@ -151,7 +151,7 @@
         running.store.faults.down = True
         response = await post(session, running, "two")
         assert response.headers[headers.CODE] == str(codes.CLAIM_UNCHECKED.number)
-        assert response.headers[headers.RAN] == codes.Ran.UNKNOWN
+        assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         assert not running.hosts["one"].upstream.runs
         running.store.faults.down = False
         assert (await post(session, running, "two")).status == 200
@@ -165,7 +165,7 @@
         response = await post(session, running, "two", deadline=1000)
         assert loop.time() - began < 1.5
         assert response.status == 502
-        assert response.headers[headers.RAN] == codes.Ran.UNKNOWN
+        assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         running.store.faults.silent = False
 
     # Guards against: work begins after its caller was told that its time is over.
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -46,7 +46,7 @@
 def assert_goes_on(bench):
     answer = send(bench, HEAD + b"\r\n")
     assert benches.status_of(answer) == 200
-    assert benches.header_of(answer, headers.RAN) == codes.Ran.RAN
+    assert benches.header_of(answer, headers.RAN) == codes.Execution.RAN
 
 
 class TestRefusals:
@@ -93,7 +93,7 @@
         answer = send(bench, data)
         wanted = code or codes.BAD_REQUEST
         assert benches.header_of(answer, headers.CODE) == str(wanted.number)
-        assert benches.header_of(answer, headers.RAN) == codes.Ran.NOT_RUN
+        assert benches.header_of(answer, headers.RAN) == codes.Execution.NOT_RUN
         assert benches.status_of(answer) == wanted.status
         assert not benches.header_of(answer, "Server")
         assert len(bench.host.upstream.runs) == runs
@@ -120,7 +120,7 @@
         monkeypatch.setattr(bench.host.node.entry, "read", fail)
         answer = send(bench, HEAD + b"\r\n")
         assert benches.header_of(answer, headers.CODE) == str(codes.INTERNAL.number)
-        assert benches.header_of(answer, headers.RAN) == codes.Ran.UNKNOWN
+        assert benches.header_of(answer, headers.RAN) == codes.Execution.UNKNOWN
         assert b"broken" not in answer
 
     def test_connections_over_the_limit_are_dropped(self, bench, monkeypatch):
@@ -226,7 +226,7 @@
         upstream = bench.host.upstream
         answer = send(bench, start + rest, end=True)
         if answer:
-            assert benches.header_of(answer, headers.RAN) in list(codes.Ran)
+            assert benches.header_of(answer, headers.RAN) in list(codes.Execution)
             assert benches.header_of(answer, headers.CODE) != str(codes.INTERNAL.number)
         assert all(run.path.startswith("/workshop") for run in upstream.runs)
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -68,7 +68,7 @@
         data = HEAD + BODY
         peer = Peer([data[:cut], data[cut:]])
         address = await peer.start()
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         for _ in range(3):
             assert (await exchange(pool, address)).body == BODY
         assert peer.connections == 1
@@ -77,7 +77,7 @@
     async def test_an_answer_byte_by_byte(self):
         data = HEAD.replace(b"2000", b"20") + BODY[:20]
         peer = Peer([data[index : index + 1] for index in range(len(data))])
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         assert (await exchange(pool, await peer.start())).body == BODY[:20]
         pool.close()
 
@@ -87,19 +87,25 @@
     async def test_a_cut_answer_is_a_failure_with_unknown_outcome(self, then):
         peer = Peer([HEAD, BODY[:700]], then)
         with pytest.raises(codes.Failure) as caught:
-            await exchange(connections.Pool(memory.Held(HELD)), await peer.start())
-        assert caught.value.ran is codes.Ran.UNKNOWN
+            await exchange(
+                connections.Pool(memory.MemoryBudget(HELD)), await peer.start()
+            )
+        assert caught.value.ran is codes.Execution.UNKNOWN
 
     async def test_an_answer_that_ends_with_its_connection(self):
         peer = Peer([b"HTTP/1.1 200 OK\r\n\r\n", BODY], "close")
         assert (
-            await exchange(connections.Pool(memory.Held(HELD)), await peer.start())
+            await exchange(
+                connections.Pool(memory.MemoryBudget(HELD)), await peer.start()
+            )
         ).body == BODY
 
     async def test_such_an_answer_that_is_reset_is_not_whole(self):
         peer = Peer([b"HTTP/1.1 200 OK\r\n\r\n", BODY], "reset")
         with pytest.raises(codes.Failure):
-            await exchange(connections.Pool(memory.Held(HELD)), await peer.start())
+            await exchange(
+                connections.Pool(memory.MemoryBudget(HELD)), await peer.start()
+            )
 
     @pytest.mark.parametrize(
         "junk", [b"\x00\x01nonsense\r\n\r\n", b"HTTP/1.1 abc\r\n\r\n"]
@@ -107,22 +113,24 @@
     async def test_bytes_that_are_no_answer(self, junk):
         peer = Peer([junk])
         with pytest.raises(codes.Failure) as caught:
-            await exchange(connections.Pool(memory.Held(HELD)), await peer.start())
-        assert caught.value.ran is codes.Ran.UNKNOWN
+            await exchange(
+                connections.Pool(memory.MemoryBudget(HELD)), await peer.start()
+            )
+        assert caught.value.ran is codes.Execution.UNKNOWN
 
 
 class TestBelonging:
     async def test_an_answer_to_an_earlier_request_is_skipped(self):
         other = HEAD.replace(b"mine", b"else") + BODY
         peer = Peer([other, HEAD + BODY])
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         response = await exchange(pool, await peer.start(), mine)
         assert mine(response)
 
     async def test_bytes_between_requests_end_the_connection(self):
         peer = Peer([HEAD + BODY, HEAD + BODY])
         address = await peer.start()
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         await exchange(pool, address)
         await asyncio.sleep(0.05)
         await exchange(pool, address)
@@ -133,15 +141,17 @@
 class TestConnecting:
     async def test_nobody_listens(self):
         with pytest.raises(codes.Failure) as caught:
-            await connections.Pool(memory.Held(HELD)).acquire("127.0.0.1:9", 1.0)
+            await connections.Pool(memory.MemoryBudget(HELD)).acquire(
+                "127.0.0.1:9", 1.0
+            )
         assert caught.value.code is codes.CONNECT_FAILED
-        assert caught.value.ran is codes.Ran.NOT_RUN
+        assert caught.value.ran is codes.Execution.NOT_RUN
 
     async def test_the_peers_own_idle_limit_is_kept(self):
         head = HEAD.replace(b"\r\n\r\n", b"\r\nKeep-Alive: timeout=1\r\n\r\n")
         peer = Peer([head + BODY])
         address = await peer.start()
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         await exchange(pool, address)
         await asyncio.sleep(0.85)
         await exchange(pool, address)
@@ -173,7 +183,7 @@
     async def test_bytes_without_end(self, name):
         flood = floods.Flood(*floods.ENDLESS[name])
         address = await flood.start()
-        held = memory.Held(HELD)
+        held = memory.MemoryBudget(HELD)
         tracemalloc.start()
         try:
             async with asyncio.timeout(10):
@@ -184,7 +194,7 @@
         finally:
             tracemalloc.stop()
         assert failure.code is codes.UPSTREAM_FAILED
-        assert failure.ran is codes.Ran.UNKNOWN
+        assert failure.ran is codes.Execution.UNKNOWN
         assert flood.sent <= receiving.ANSWER_BYTES + BUFFERS
         assert peak <= KEPT.get(name, KEPT_MOST)
         assert held.used == 0
@@ -193,7 +203,7 @@
     async def test_bodies_without_end_at_many_connections(self):
         flood = floods.Flood(*floods.ENDLESS["body"])
         address = await flood.start()
-        held = memory.Held(20_000_000)
+        held = memory.MemoryBudget(20_000_000)
         tracemalloc.start()
         try:
             async with asyncio.timeout(20):
@@ -204,7 +214,7 @@
         finally:
             tracemalloc.stop()
         assert codes.MEMORY_FULL in {failure.code for failure in failures}
-        assert {failure.ran for failure in failures} == {codes.Ran.UNKNOWN}
+        assert {failure.ran for failure in failures} == {codes.Execution.UNKNOWN}
         assert peak <= 2 * 20_000_000
         assert held.used == 0
 
@@ -212,7 +222,7 @@
         body = bytes(range(256)) * 4
         chunk = b"400\r\n" + body + b"\r\n"
         peer = Peer([floods.CHUNKED, *([chunk * 100] * 20), b"0\r\n\r\n"])
-        pool = connections.Pool(memory.Held(HELD))
+        pool = connections.Pool(memory.MemoryBudget(HELD))
         response = await exchange(pool, await peer.start(), mine)
         assert response.body == body * 2000
         assert pool.held.used == 0
@@ -225,5 +235,5 @@
             with pytest.raises(codes.Failure) as caught:
                 await client.list("records")
         assert caught.value.code is codes.PLATFORM_DOWN
-        assert flood.sent <= store.ANSWER_BYTES + BUFFERS
+        assert flood.sent <= store.MAX_ANSWER_BYTES + BUFFERS
         await client.close()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from rattanridge.admin import server
 from rattanridge.cli import main
 from rattanridge.kernel import codes, registry
-from rattanridge.mesh import configs, directory, judging
+from rattanridge.mesh import configs, directory, monitoring
 from rattanridge.web import headers
 
 registry.load_plugins(admin)
@@ -24,8 +24,12 @@
 COMMAND = re.compile(r"(?:^ {4,}|`|\$ )rattanridge ([a-z][^`#|\n]*)", re.MULTILINE)
 PLACEHOLDER = "CODE"
 PAGES_OF_NODES = [
-    configs.PAGE, configs.STATE_PAGE, directory.PAGE, judging.PAGE, judging.BRAKE_PAGE,
-]  # fmt: skip
+    configs.PATH,
+    configs.STATE_PATH,
+    directory.PATH,
+    monitoring.REPORT_PATH,
+    monitoring.BRAKE_PATH,
+]
 
 
 def page_id(path):
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -235,6 +235,6 @@
 class TestPoint:
     def test_adds_the_line(self):
         failure = codes.Failure(codes.BAD_FIELD, where="file: routes[0].service")
-        assert documents.point(failure, PRESET, "file").where == (
+        assert documents.add_line_number(failure, PRESET, "file").where == (
             "file:6: routes[0].service"
         )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -70,7 +70,7 @@
     async def break_before(self):
         """Do what is wrong before the request comes."""
         if self.fault in UPSTREAM_FAULTS:
-            mesh_world.spoil(self.upstream, self.fault)
+            mesh_world.inject_fault(self.upstream, self.fault)
             self.upstream.faults.deaf = self.fault == "silent"
             return
         match self.fault:
@@ -175,7 +175,7 @@
         status, found, body = answer
         if status == 200:
             assert REQUESTS[scene.method].encode() in body
-            assert found[headers.RAN] == codes.Ran.RAN
+            assert found[headers.RAN] == codes.Execution.RAN
         elif headers.CODE in found:
             assert int(found[headers.CODE]) in codes.TABLE
         else:
@@ -188,7 +188,7 @@
         if answer is None:
             return
         status, found, _ = answer
-        if found[headers.RAN] == codes.Ran.NOT_RUN:
+        if found[headers.RAN] == codes.Execution.NOT_RUN:
             assert scene.count() == 0
             assert status == 503
         if status == 200:
@@ -199,4 +199,4 @@
         for node in scene.world.nodes:
             await scene.world.wait(lambda node=node: node.busy() == 0)
             assert not node.exit.queue.waiting
-            assert node.entry.held.used == 0
+            assert node.entry.memory_budget.used == 0
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -74,7 +74,7 @@
 
 class TestRoutes:
     def match(self, services, path, method="GET", host="any"):
-        made = presets.configure(fleet.make_preset("day", services), 1)
+        made = presets.make_configuration(fleet.make_preset("day", services), 1)
         found = made.match(host, path, method)
         return found.shares[0].service if found is not None else None
 
@@ -89,7 +89,7 @@
             "services: {payments: {}}", "services: {payments: {}, crest: {}}"
         )
         text += "  - {host: crest.example, prefix: /, service: crest}\n"
-        made = presets.configure(presets.parse(text), 1)
+        made = presets.make_configuration(presets.parse(text), 1)
         found = [made.match(host, "/pay/1", "GET") for host in ("crest.example", "b")]
         assert [item.shares[0].service for item in found] == ["crest", "payments"]
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -16,7 +16,7 @@
         await world.start("registry")
         status, found, body = await world.call("/lookup/7", "POST", body=b"crest")
         assert (status, body[-5:]) == (200, b"crest")
-        assert found[headers.PROOF] == "proof"
+        assert found[headers.SIGNATURE] == "proof"
         assert found["Rattanridge-Ran"] == "ran"
 
     async def test_over_two_hops(self, world):
@@ -68,7 +68,7 @@
     async def test_safe_request_is_repeated_elsewhere(self, world, mode):
         await world.start("registry", "registry")
         world.age()
-        mesh_world.spoil(world.upstreams[0], mode)
+        mesh_world.inject_fault(world.upstreams[0], mode)
         results = [await world.call("/lookup/1") for _ in range(4)]
         assert {status for status, _, _ in results} == {200}
 
@@ -76,7 +76,7 @@
     async def test_unsafe_request_is_not_repeated(self, world, mode):
         await world.start("workshop", "workshop")
         for upstream in world.upstreams:
-            mesh_world.spoil(upstream, mode)
+            mesh_world.inject_fault(upstream, mode)
         status, found, _ = await world.call("/order/1", "POST")
         assert status == 502
         assert found["Rattanridge-Ran"] == "unknown"
@@ -98,28 +98,28 @@
             upstream.told_address = ""
             await upstream.beat()
         assert (await world.call("/order/1", "POST"))[0] == 200
-        assert all(node.held.used == 0 for node in world.nodes)
+        assert all(node.memory_budget.used == 0 for node in world.nodes)
 
     async def test_unsafe_request_moves_after_a_proof(self, world):
         await world.start("workshop", "workshop")
-        mesh_world.spoil(world.upstreams[0], "shed")
+        mesh_world.inject_fault(world.upstreams[0], "shed")
         status, _, _ = await world.call("/order/1", "POST")
         assert status == 200 or not world.upstreams[1].runs
 
     async def test_own_failure_of_an_upstream_is_returned(self, world):
         await world.start("workshop")
-        mesh_world.spoil(world.upstreams[0], "fail")
+        mesh_world.inject_fault(world.upstreams[0], "fail")
         status, found, body = await world.call("/order/1", "POST")
         assert (status, body) == (500, b"fault")
-        assert found[headers.PROOF] == "proof"
+        assert found[headers.SIGNATURE] == "proof"
 
     async def test_a_late_answer_reaches_nobody_else(self, world):
         await world.start("registry")
-        mesh_world.spoil(world.upstreams[0], "stray")
+        mesh_world.inject_fault(world.upstreams[0], "stray")
         for _ in range(3):
             status, found, body = await world.call("/lookup/1")
             assert (status, body) == (200, b"registry v1 /lookup/1 ")
-            assert found[headers.PROOF] == "proof"
+            assert found[headers.SIGNATURE] == "proof"
 
     async def test_dead_upstream_is_a_true_refusal(self, world):
         await world.start("workshop")
@@ -153,16 +153,18 @@
         for runner in lost.runners[1:2]:
             await runner.cleanup()
         assert (await world.call("/lookup/1"))[0] == 503
-        first = entry.directory.of("registry")[0]
+        first = entry.directory.candidates_of("registry")[0]
         assert first.lost
         world.upstreams[1].endpoint = "i-fresh"
         world.upstreams[1].incarnation += 1
         await world.upstreams[1].beat()
-        await world.wait(lambda: entry.directory.of("registry") not in ([], [first]))
+        await world.wait(
+            lambda: entry.directory.candidates_of("registry") not in ([], [first])
+        )
         assert (await world.call("/lookup/1"))[0] == 503
         await asyncio.sleep(1.0)
-        await lost.listen(lost.hops.serve, lost.config.listen.hops)
-        await world.wait(lambda: not entry.directory.of("registry")[0].lost)
+        await lost.listen(lost.hop_handler.serve, lost.config.listen.hops)
+        await world.wait(lambda: not entry.directory.candidates_of("registry")[0].lost)
         assert (await world.call("/lookup/1"))[0] == 200
 
 
@@ -201,7 +203,7 @@
     async def test_late_heartbeats_alone_refuse_nobody(self, world):
         """An idle upstream whose heartbeats are late gets several requests."""
         await world.start("registry")
-        world.nodes[0].upstream.heard_at -= 60.0
+        world.nodes[0].upstream.heartbeat_at -= 60.0
         world.nodes[0].upstream.answered_at -= 60.0
         results = await asyncio.gather(*(world.call("/lookup/1") for _ in range(8)))
         assert {status for status, _, _ in results} == {200}
@@ -212,8 +214,8 @@
         first = asyncio.create_task(world.call("/lookup/1"))
         await asyncio.sleep(0.05)
         upstream = world.nodes[0].upstream
-        upstream.heard_at -= 60.0
-        upstream.asked_at -= 60.0
+        upstream.heartbeat_at -= 60.0
+        upstream.busy_since -= 60.0
         upstream.answered_at -= 60.0
         status, found, _ = await world.call("/lookup/2")
         assert (status, found["Rattanridge-Ran"]) == (503, "not-run")
@@ -242,13 +244,13 @@
         node = world.nodes[0]
         node.exit.parents.running["77"] = False
         seen = []
-        run = node.attempts.run
+        run = node.dispatcher.run
 
         async def note(call, route):
             seen.append(call.nested)
             return await run(call, route)
 
-        node.attempts.run = note
+        node.dispatcher.run = note
         for attempt in ("77.1", "78.1", "77"):
             sent = {"Host": mesh_world.HOST, headers.ATTEMPT: attempt}
             url = f"http://{node.config.listen.callers}/lookup/1"
@@ -279,7 +281,7 @@
         late = first.report()
         upstream = world.nodes[0].upstream
         upstream.identity = None
-        upstream.leave(first.endpoint, 0)
+        upstream.record_farewell(first.endpoint, 0)
         url = f"http://{world.nodes[0].config.listen.heartbeats}/api/instances/"
         async with world.session.put(url + first.endpoint, data=late) as answer:
             assert answer.status == 200
@@ -355,11 +357,11 @@
     async def test_a_stopping_node_ends_the_connections_of_other_nodes(self, world):
         """Nothing may be sent on a kept connection that is about to close."""
         await world.start("workshop", "registry")
-        kept = world.nodes[0].attempts.peers.pool.idle
+        kept = world.nodes[0].dispatcher.peers.pool.idle
         hop = world.nodes[1].config.listen.hops
         await asyncio.gather(*(world.call("/lookup/1") for _ in range(3)))
         assert len(kept[hop]) > 1
-        world.nodes[1].hops.closing = True
+        world.nodes[1].hop_handler.closing = True
         assert (await world.call("/lookup/1"))[0] == 200
         assert not kept.get(hop)
 
--- a/tests/test_mesh_rollouts.py
+++ b/tests/test_mesh_rollouts.py
@@ -14,7 +14,7 @@
 async def start(world):
     await world.start("workshop", "registry", "registry", slots=12)
     await world.add("registry", "b", 24, "v2")
-    await world.settle()
+    await world.wait_for_endpoints()
     await world.order("registry", "v2", DURATION)
 
 
@@ -50,7 +50,7 @@
     async def test_waits_for_its_order(self, world):
         await world.start("workshop", "registry", "registry", slots=12)
         await world.add("registry", "a", 12, "v2")
-        await world.settle()
+        await world.wait_for_endpoints()
         for _ in range(20):
             await world.call("/lookup/1")
         assert not world.upstreams[3].runs
@@ -77,11 +77,11 @@
         await start(world)
         bad = world.upstreams[3]
         if fault == "fail":
-            mesh_world.spoil(bad, "fail")
+            mesh_world.inject_fault(bad, "fail")
         else:
             bad.shape.work = 0.12
-        statuses = await send_until(world, lambda: state(world) == orders.TAKEN_BACK)
-        assert state(world) == orders.TAKEN_BACK
+        statuses = await send_until(world, lambda: state(world) == orders.ROLLED_BACK)
+        assert state(world) == orders.ROLLED_BACK
         assert statuses.count(200) >= 0.95 * len(statuses)
         assert len(bad.runs) <= 0.1 * len(statuses) + 50
         before = len(bad.runs)
@@ -97,11 +97,11 @@
         await send_until(
             world, lambda: share.rollouts and share.rollouts["registry"].share() > 0.05
         )
-        mesh_world.spoil(bad, "fail")
+        mesh_world.inject_fault(bad, "fail")
         await send_until(world, lambda: len(bad.runs) > 3, 3.0)
         world.store.faults.lost = True
-        await send_until(world, lambda: world.nodes[3].exit.judge.braked_until > 0)
-        assert world.nodes[3].exit.judge.refusal() is not None
+        await send_until(world, lambda: world.nodes[3].exit.monitor.braked_until > 0)
+        assert world.nodes[3].exit.monitor.refusal() is not None
         world.store.faults.lost = False
 
 
@@ -109,10 +109,10 @@
     async def test_a_version_without_enough_endpoints_is_taken_back(self, world):
         await world.start("workshop", "registry", "registry", slots=12)
         await world.add("registry", "b", 6, "v2")
-        await world.settle()
+        await world.wait_for_endpoints()
         await world.order("registry", "v2", 4.0)
-        statuses = await send_until(world, lambda: state(world) == orders.TAKEN_BACK)
-        assert state(world) == orders.TAKEN_BACK
+        statuses = await send_until(world, lambda: state(world) == orders.ROLLED_BACK)
+        assert state(world) == orders.ROLLED_BACK
         assert set(statuses) == {200}
         stored = world.store.objects[orders.KIND, "registry"]
         status = orders.decode_status(bytes(stored.status))
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from rattanridge.kernel import packing
+from rattanridge.kernel import compression
 from rattanridge.mesh import node as nodes, records, watching
 from rattanridge.platform import configs, orders, store as stores
 from tests import mesh_world
@@ -23,7 +23,7 @@
 
     async def test_an_older_version_changes_nothing(self, world):
         await world.start("registry")
-        await world.configure(9, *mesh_world.PLAIN)
+        await world.configure(9, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 9)
         await world.configure(5, mesh_world.route("old", "/old/", "registry"))
         await asyncio.sleep(0.4)
@@ -55,7 +55,7 @@
         await world.wait(lambda: world.nodes)
         status, found, _ = await world.call("/lookup/1")
         assert (status, found["Rattanridge-Ran"]) == (503, "not-run")
-        await world.configure(1, *mesh_world.PLAIN)
+        await world.configure(1, *mesh_world.DEFAULT_ROUTES)
         await adding
 
 
@@ -70,7 +70,7 @@
         assert (await world.call("/lookup/1", node=1))[0] == 200
         await asyncio.sleep(0.5)
         setattr(world.store.faults, fault, False)
-        await world.configure(4, *mesh_world.PLAIN)
+        await world.configure(4, *mesh_world.DEFAULT_ROUTES)
         await world.wait(
             lambda: all(node.configs.version == 4 for node in world.nodes), 4.0
         )
@@ -106,7 +106,7 @@
         await world.start("workshop", "registry")
         world.store.faults.deaf = True
         fresh = mesh_world.route("new", "/new/", "registry")
-        await world.configure(4, *mesh_world.PLAIN, fresh)
+        await world.configure(4, *mesh_world.DEFAULT_ROUTES, fresh)
         knowing = world.nodes[0]
         knowing.configs.take(await knowing.store.get(configs.KIND, configs.NAME))
         await world.call("/lookup/1")
@@ -121,7 +121,7 @@
         node = world.nodes[0]
         world.store.faults.mute = True
         await asyncio.sleep(0.5)
-        await world.configure(4, *mesh_world.PLAIN)
+        await world.configure(4, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: node.configs.version == 4, 3.0)
         assert node.health.doubted_at > float("-inf")
 
@@ -135,7 +135,7 @@
         await world.start("workshop", "registry")
         world.nodes[0].store.base = "http://127.0.0.1:1/"
         world.store.faults.deaf = True
-        await world.configure(4, *mesh_world.PLAIN)
+        await world.configure(4, *mesh_world.DEFAULT_ROUTES)
         other = world.nodes[1]
         other.configs.take(await other.store.get(configs.KIND, configs.NAME))
         await world.call("/lookup/1")
@@ -160,7 +160,9 @@
             await reached()
         assert (await world.call("/lookup/1", node=1))[0] == 200
 
-    @pytest.mark.parametrize("data", [None, b"", b"\xff", packing.pack(b"odd")[:-2]])
+    @pytest.mark.parametrize(
+        "data", [None, b"", b"\xff", compression.compress(b"odd")[:-2]]
+    )
     async def test_an_unreadable_answer_of_another_node_changes_nothing(
         self, world, data
     ):
@@ -193,7 +195,7 @@
     async def test_forgotten_history_is_listed_again(self, world):
         await world.start("registry")
         world.store.forget()
-        await world.configure(6, *mesh_world.PLAIN)
+        await world.configure(6, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 6, 3.0)
 
 
@@ -204,14 +206,16 @@
         await world.upstreams[0].drain()
         await asyncio.sleep(0.3)
         world.store.faults.lost = False
-        await world.wait(lambda: len(world.nodes[1].directory.of("registry")) == 0, 3.0)
+        await world.wait(
+            lambda: len(world.nodes[1].directory.candidates_of("registry")) == 0, 3.0
+        )
 
     async def test_a_record_that_was_removed_comes_back(self, world):
         await world.start("registry", "workshop")
         known = world.store.objects[records.KIND, "node-0"]
         await world.store.write(records.KIND, "node-0", 0, known, deleted=True)
         await world.wait(lambda: (records.KIND, "node-0") in world.store.objects)
-        await world.settle()
+        await world.wait_for_endpoints()
 
     async def test_a_foreign_record_names_no_endpoint(self, world):
         await world.start("registry", "workshop")
@@ -219,7 +223,7 @@
             await world.store.put(records.KIND, f"foreign-{index}", data)
         await world.store.put(orders.KIND, "registry", b'{"Service":1}')
         await asyncio.sleep(0.4)
-        assert len(world.nodes[1].directory.of("registry")) == 1
+        assert len(world.nodes[1].directory.candidates_of("registry")) == 1
         assert (await world.call("/lookup/1", node=1))[0] == 200
 
     async def test_a_host_that_got_the_address_of_another_one(self, world):
@@ -235,7 +239,9 @@
         await world.upstreams[1].beat()
         found = world.nodes[0].directory
         await world.wait(
-            lambda: [item.node for item in found.of("workshop")] == ["node-0"]
+            lambda: (
+                [item.node for item in found.candidates_of("workshop")] == ["node-0"]
+            )
         )
         node.health.doubt("test")
         await world.wait(lambda: (records.KIND, "gone") not in world.store.objects)
@@ -243,7 +249,9 @@
     async def test_a_stopped_node_is_left_at_once(self, world):
         await world.start("workshop", "registry", "registry")
         stopping = asyncio.create_task(world.nodes[1].stop())
-        await world.wait(lambda: len(world.nodes[0].directory.of("registry")) == 1)
+        await world.wait(
+            lambda: len(world.nodes[0].directory.candidates_of("registry")) == 1
+        )
         assert (await world.call("/lookup/1"))[0] == 200
         await stopping
 
@@ -259,9 +267,9 @@
         size = len(msgspec.json.encode(stored))
         before = world.store.sent
         for version in range(2, 32):
-            await world.configure(version, *mesh_world.PLAIN)
+            await world.configure(version, *mesh_world.DEFAULT_ROUTES)
             await asyncio.sleep(0.03)
         await world.wait(lambda: world.nodes[0].configs.version == 31, 2.0)
         assert world.store.sent - before < 15 * size
-        await world.configure(40, *mesh_world.PLAIN)
+        await world.configure(40, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 40, 2.0)
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -4,7 +4,7 @@
 import pytest
 from hypothesis import strategies
 
-from rattanridge.kernel import codes, packing
+from rattanridge.kernel import codes, compression
 
 LIMIT = 10_000
 
@@ -12,12 +12,12 @@
 class TestPacking:
     @hypothesis.given(strategies.binary(max_size=LIMIT))
     def test_comes_back_as_it_was(self, data):
-        assert packing.unpack(packing.pack(data), LIMIT) == data
+        assert compression.decompress(compression.compress(data), LIMIT) == data
 
     @hypothesis.given(strategies.binary(max_size=200))
     def test_anything_else_is_refused(self, data):
         try:
-            packing.unpack(data, LIMIT)
+            compression.decompress(data, LIMIT)
         except codes.Failure as failure:
             assert failure.code is codes.BAD_FIELD
 
@@ -26,12 +26,12 @@
         [
             b"",
             b"{}",
-            packing.pack(b"x" * 500)[:-1],
-            packing.pack(b"x" * (LIMIT + 1)),
-            packing.pack(b"x" * 100_000_000),
+            compression.compress(b"x" * 500)[:-1],
+            compression.compress(b"x" * (LIMIT + 1)),
+            compression.compress(b"x" * 100_000_000),
         ],
     )
     def test_cut_long_and_foreign_ones_are_refused(self, data):
         with pytest.raises(codes.Failure) as caught:
-            packing.unpack(data, LIMIT)
+            compression.decompress(data, LIMIT)
         assert caught.value.code is codes.BAD_FIELD
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -38,24 +38,24 @@
 
     def test_leaves_a_zone_whose_endpoint_is_full(self, placer):
         near, far = make("near"), make("far", "b")
-        near.note_load(placement.Load(12, 20, 0.4), 10.0)
-        far.note_load(placement.Load(3, 0, 0.0), 10.0)
+        near.record_load(placement.Load(12, 20, 0.4), 10.0)
+        far.record_load(placement.Load(3, 0, 0.0), 10.0)
         assert shares(placer, [near, far])["far"] == 200
 
     def test_stays_for_a_short_queue(self, placer):
         near, far = make("near"), make("far", "b")
-        near.note_load(placement.Load(12, 1, 0.01), 10.0)
+        near.record_load(placement.Load(12, 1, 0.01), 10.0)
         assert shares(placer, [near, far])["near"] == 200
 
     def test_own_requests_count_before_the_next_report(self, placer):
         near, far = make("near"), make("far", "b")
-        near.note_load(placement.Load(6, 0, 0.0), 10.0)
+        near.record_load(placement.Load(6, 0, 0.0), 10.0)
         near.in_flight = 20
         assert shares(placer, [near, far])["far"] == 200
 
     def test_an_old_report_says_nothing(self, placer):
         near, far = make("near"), make("far", "b")
-        near.note_load(placement.Load(12, 20, 5.0), 10.0)
+        near.record_load(placement.Load(12, 20, 5.0), 10.0)
         later = 10.0 + placement.REPORT_AGE + 0.1
         assert shares(placer, [near, far], later)["near"] == 200
 
@@ -64,14 +64,14 @@
     def test_is_left_and_tried_again_later(self, placer):
         near, far = make("near"), make("far", "b")
         for _ in range(30):
-            near.note_work(6.0, 10.0)
+            near.record_latency_ratio(6.0, 10.0)
         assert shares(placer, [near, far])["far"] == 200
         assert shares(placer, [near, far], 60.0)["near"] == 200
 
     def test_factor_is_bounded(self):
         item = make("near")
         for _ in range(500):
-            item.note_work(1e6, 1.0)
+            item.record_latency_ratio(1e6, 1.0)
         assert item.factor <= placement.FACTOR_RANGE[1]
 
 
@@ -79,12 +79,12 @@
     def test_is_avoided_while_it_sheds(self, placer):
         near, far = make("near"), make("far", "b")
         for _ in range(20):
-            near.note_shed(True, 10.0)
+            near.record_shed(True, 10.0)
         assert shares(placer, [near, far])["far"] == 200
 
     def test_share_fades(self):
         item = make("near")
-        item.note_shed(True, 0.0)
+        item.record_shed(True, 0.0)
         before = item.shed_share(0.0)
         assert item.shed_share(placement.SHED_MEMORY) == pytest.approx(before / 2)
 
@@ -103,34 +103,34 @@
     def test_failures_of_one_moment_count_once(self):
         item = make("near")
         for _ in range(12):
-            item.note_unreachable(10.0)
+            item.record_unreachable(10.0)
         assert item.paused_until == 10.0 + placement.FIRST_PAUSE
 
     def test_comes_last(self, placer):
         near, far = make("near"), make("far", "b")
-        near.note_unreachable(10.0)
+        near.record_unreachable(10.0)
         assert shares(placer, [near, far], 10.1)["far"] == 200
 
     def test_is_tried_if_there_is_no_other(self, placer):
         near = make("near")
-        near.note_unreachable(10.0)
+        near.record_unreachable(10.0)
         assert placer.choose([near], ROUTE, TARGET, 10.1) is near
 
     def test_pause_grows_and_ends(self):
         item = make("near")
-        item.note_unreachable(10.0)
+        item.record_unreachable(10.0)
         assert item.paused_until == 10.0 + placement.FIRST_PAUSE
         for step in range(20):
-            item.note_unreachable(20.0 + 5 * step)
+            item.record_unreachable(20.0 + 5 * step)
         assert item.paused_until == 115.0 + placement.LONGEST_PAUSE
-        item.note_reached()
+        item.record_reachable()
         assert item.paused_until == 0.0
 
     def test_a_lost_node_gets_nothing_until_it_is_found(self, placer):
         near = make("near")
         near.lost = True
         assert placer.choose([near], ROUTE, TARGET, 1e6) is None
-        near.note_reached()
+        near.record_reachable()
         assert placer.choose([near], ROUTE, TARGET, 1e6) is near
 
     def test_no_candidate(self, placer):
--- a/tests/test_presets.py
+++ b/tests/test_presets.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 
 from rattanridge import policies
-from rattanridge.admin import objects, presets as preset_store, writing
+from rattanridge.admin import objects, presets as preset_store, store_writes
 from rattanridge.kernel import codes, registry
 from rattanridge.platform import configs, store as stores
 from rattanridge.standin import fleet, metadata
@@ -224,7 +224,7 @@
     """The store takes writes but their answers are lost."""
 
     async def test_no_false_failure_and_nothing_twice(self, monkeypatch):
-        monkeypatch.setattr(writing, "PAUSE", 0.01)
+        monkeypatch.setattr(store_writes, "PAUSE", 0.01)
         async with presets_on() as (presets, served):
             served.faults.lost = True
             for number in range(3):
@@ -237,7 +237,7 @@
 
 class TestOutage:
     async def test_refused_and_nothing_queues(self, monkeypatch):
-        monkeypatch.setattr(writing, "PAUSE", 0.01)
+        monkeypatch.setattr(store_writes, "PAUSE", 0.01)
         async with presets_on() as (presets, served):
             await presets.put("day", DAY, "olga")
             before = dict(served.objects)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -175,7 +175,7 @@
 
         answer = system.status(f"{callers}/workshop/ring-7")
         assert answer[0] == codes.NOT_READY.status
-        assert answer[1][headers.RAN] == codes.Ran.NOT_RUN
+        assert answer[1][headers.RAN] == codes.Execution.NOT_RUN
 
         preset = str(ROOT / "examples/ordinary.yaml")
         status, output = system.run("preset", "put", preset)
@@ -200,11 +200,11 @@
         system.wait("an endpoint", lambda: system.status(read)[0] == 200)
         status, found = system.status(f"{callers}/workshop/rings", b"gold")
         assert status == 200
-        assert found[headers.RAN] == codes.Ran.RAN
+        assert found[headers.RAN] == codes.Execution.RAN
         status, found = system.status(f"{callers}/elsewhere")
         assert status == 404
         assert found[headers.CODE] == str(codes.NO_ROUTE.number)
-        assert found[headers.RAN] == codes.Ran.NOT_RUN
+        assert found[headers.RAN] == codes.Execution.NOT_RUN
 
     def see_operator_commands(self, system):
         """What operators read, and the exit status of refusals."""
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -15,14 +15,14 @@
 
     def __init__(self, name, quarantined):
         self.name = name
-        self.evidence = quarantine.Evidence()
+        self.evidence = quarantine.CrashEvidence()
         self.quarantined = quarantined
 
     def crash(self, request, at=0.0, ran_for=0.01, seen_after=0.1):
-        self.evidence.note_broken(request, ran_for, at)
-        self.evidence.note_end(at + seen_after, NOW + at)
+        self.evidence.record_broken_request(request, ran_for, at)
+        self.evidence.record_crash(at + seen_after, NOW + at)
         told = tuple(self.evidence.suspects.values())
-        self.quarantined.take(self.name, told)
+        self.quarantined.apply(self.name, told)
 
 
 class TestPoison:
@@ -32,30 +32,30 @@
         known = quarantine.Quarantine()
         first, second = Node("a", known), Node("b", known)
         first.crash("poison")
-        assert not known.holds("poison", NOW)
+        assert not known.is_quarantined("poison", NOW)
         second.crash("poison")
-        assert known.holds("poison", NOW)
-        assert not known.holds("other", NOW)
+        assert known.is_quarantined("poison", NOW)
+        assert not known.is_quarantined("other", NOW)
 
     def test_of_one_upstream_twice(self):
         known = quarantine.Quarantine()
         node = Node("a", known)
         node.crash("poison")
         node.crash("poison", at=5.0)
-        assert known.holds("poison", NOW)
+        assert known.is_quarantined("poison", NOW)
 
     def test_it_ends(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("poison")
-        assert not known.holds("poison", NOW + quarantine.EXPIRY + 1)
+        assert not known.is_quarantined("poison", NOW + quarantine.EVIDENCE_TTL + 1)
 
     def test_a_node_that_is_gone_tells_nothing(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("poison")
-        known.take("b", ())
-        assert not known.holds("poison", NOW)
+        known.apply("b", ())
+        assert not known.is_quarantined("poison", NOW)
 
 
 class TestInnocent:
@@ -63,24 +63,24 @@
 
     def test_a_reset_connection_is_no_end(self):
         known = quarantine.Quarantine()
-        evidence = quarantine.Evidence()
+        evidence = quarantine.CrashEvidence()
         for at in range(10):
-            evidence.note_broken("r", 0.01, at)
-        assert not evidence.note_end(60.0, NOW)
-        assert not known.told
+            evidence.record_broken_request("r", 0.01, at)
+        assert not evidence.record_crash(60.0, NOW)
+        assert not known.reported
 
     def test_requests_that_ran_for_long_are_not_suspected(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("r", ran_for=quarantine.BEGUN_WITHIN * 2)
-        assert not known.holds("r", NOW)
+        assert not known.is_quarantined("r", NOW)
 
     def test_an_answer_clears(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("r")
         known.clear("r", NOW)
-        assert not known.holds("r", NOW)
+        assert not known.is_quarantined("r", NOW)
 
     def test_full_endpoints_that_die_one_after_the_other(self):
         """Each takes the requests of its slots with it; each request is new."""
@@ -88,27 +88,27 @@
         for number in range(8):
             node = Node(f"n{number}", known)
             for slot in range(12):
-                node.evidence.note_broken(f"r{number}-{slot}", 0.02, 0.0)
+                node.evidence.record_broken_request(f"r{number}-{slot}", 0.02, 0.0)
             node.crash(f"r{number}")
         assert not any(
-            known.holds(f"r{number}-{slot}", NOW)
+            known.is_quarantined(f"r{number}-{slot}", NOW)
             for number in range(8)
             for slot in range(12)
         )
 
     def test_bounded_in_number(self):
-        evidence = quarantine.Evidence()
+        evidence = quarantine.CrashEvidence()
         for number in range(quarantine.SUSPECTS_MOST * 2):
-            evidence.note_broken(f"r{number}", 0.01, 0.0)
-            evidence.note_end(0.1, NOW)
+            evidence.record_broken_request(f"r{number}", 0.01, 0.0)
+            evidence.record_crash(0.1, NOW)
         assert len(evidence.suspects) == quarantine.SUSPECTS_MOST
 
     def test_old_evidence_is_dropped(self):
-        evidence = quarantine.Evidence()
-        evidence.note_broken("r", 0.01, 0.0)
-        evidence.note_end(0.1, NOW)
+        evidence = quarantine.CrashEvidence()
+        evidence.record_broken_request("r", 0.01, 0.0)
+        evidence.record_crash(0.1, NOW)
         assert not evidence.expire(NOW)
-        assert evidence.expire(NOW + quarantine.EXPIRY)
+        assert evidence.expire(NOW + quarantine.EVIDENCE_TTL)
         assert not evidence.suspects
 
 
@@ -126,7 +126,7 @@
 def all_know(hosts):
     """Whether the evidence of all crashes reached every node."""
     crashes = count_crashes(hosts)
-    return all(len(host.node.suspects.quarantine.told) == crashes for host in hosts)
+    return all(len(host.node.suspects.quarantine.reported) == crashes for host in hosts)
 
 
 class TestFleet:
@@ -146,5 +146,5 @@
             for host in hosts:
                 response = await send(session, host, "/archives/cracked")
                 assert response.headers[headers.CODE] == str(codes.QUARANTINED.number)
-                assert response.headers[headers.RAN] == codes.Ran.NOT_RUN
+                assert response.headers[headers.RAN] == codes.Execution.NOT_RUN
                 assert (await send(session, host, "/archives/whole")).status == 200
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -16,11 +16,11 @@
 
 async def fill(queue):
     for _ in range(queue.slots):
-        await queue.enter(ticket())
+        await queue.acquire(ticket())
 
 
 async def enter(queue, made):
-    task = asyncio.create_task(queue.enter(made))
+    task = asyncio.create_task(queue.acquire(made))
     await asyncio.sleep(0)
     return task
 
@@ -32,7 +32,7 @@
         waiting = await enter(queue, ticket())
         assert queue.running == 3
         assert not waiting.done()
-        queue.leave()
+        queue.release()
         await waiting
         assert queue.running == 3
 
@@ -43,14 +43,14 @@
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert not queue.waiting
-        queue.leave()
+        queue.release()
         assert queue.running == 0
 
     async def test_a_caller_that_goes_away_just_as_it_gets_a_slot(self):
         queue = queueing.Queue(1)
         await fill(queue)
         waiting = await enter(queue, ticket())
-        queue.leave()
+        queue.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert queue.running == 0
@@ -82,11 +82,11 @@
     )
     async def test_overtaking(self, earlier, later):
         queue = queueing.Queue(1)
-        queue.times.note("r", 0.02)
+        queue.times.record("r", 0.02)
         await fill(queue)
         overtaken = await enter(queue, ticket(**earlier))
         first = await enter(queue, ticket(**later))
-        queue.leave()
+        queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert first.done()
@@ -98,7 +98,7 @@
         await fill(queue)
         first = await enter(queue, ticket())
         second = await enter(queue, ticket())
-        queue.leave()
+        queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         assert first.done()
@@ -109,20 +109,20 @@
 class TestRefusal:
     async def test_at_once_if_the_deadline_can_not_be_met(self):
         queue = queueing.Queue(1)
-        queue.times.note("r", 1.0)
+        queue.times.record("r", 1.0)
         await fill(queue)
         with pytest.raises(codes.Failure) as caught:
-            await queue.enter(ticket(deadline=0.8))
+            await queue.acquire(ticket(deadline=0.8))
         assert caught.value.code is codes.QUEUE_FULL
-        assert caught.value.ran is codes.Ran.NOT_RUN
+        assert caught.value.ran is codes.Execution.NOT_RUN
         assert caught.value.retry_after > 0
 
     async def test_of_a_request_that_waits_until_it_is_hopeless(self):
         queue = queueing.Queue(1)
-        queue.times.note("r", 0.02)
+        queue.times.record("r", 0.02)
         await fill(queue)
         with pytest.raises(codes.Failure):
-            await queue.enter(ticket(deadline=0.06))
+            await queue.acquire(ticket(deadline=0.06))
         assert not queue.waiting
 
     async def test_of_all_when_the_endpoint_leaves(self):
@@ -136,17 +136,17 @@
 
     async def test_retry_after_is_bounded(self):
         queue = queueing.Queue(1)
-        queue.times.note("r", 100.0)
+        queue.times.record("r", 100.0)
         await fill(queue)
         assert queue.retry_after() == queueing.LONGEST_RETRY_AFTER
 
     async def test_of_late_requests_unless_they_are_nested(self):
         queue = queueing.Queue(1)
-        queue.times.note("r", 0.5)
+        queue.times.record("r", 0.5)
         await fill(queue)
         first = await enter(queue, ticket(timely=2.0))
         with pytest.raises(codes.Failure):
-            await queue.enter(ticket(timely=0.1, deadline=1.3))
+            await queue.acquire(ticket(timely=0.1, deadline=1.3))
         nested = await enter(queue, ticket(timely=0.1, deadline=1.3, nested=True))
         assert not nested.done()
         for task in (first, nested):
@@ -164,7 +164,7 @@
     async def play_burst(self):
         """Return the times of refusals, those of answers, and the queue."""
         queue = queueing.Queue(4)
-        queue.times.note("r", 0.01)
+        queue.times.record("r", 0.01)
         loop = asyncio.get_running_loop()
         began = loop.time()
         times = []
@@ -172,12 +172,12 @@
 
         async def run():
             try:
-                await queue.enter(ticket(timely=0.2, deadline=0.4))
+                await queue.acquire(ticket(timely=0.2, deadline=0.4))
             except codes.Failure:
                 refused.append(loop.time() - began)
                 return
             await asyncio.sleep(0.01)
-            queue.leave()
+            queue.release()
             times.append(loop.time() - began)
 
         await asyncio.gather(*(run() for _ in range(300)))
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -14,16 +14,16 @@
         await world.start("workshop", "registry", "registry")
         world.age()
         for upstream in world.upstreams[1:]:
-            mesh_world.spoil(upstream, "fail")
+            mesh_world.inject_fault(upstream, "fail")
         seen = []
         for node in world.nodes[1:]:
-            note = node.exit.judge.observe
+            note = node.exit.monitor.record_request
 
             def observe(call, status, spent, note=note):
                 seen.append(call.repeated)
                 note(call, status, spent)
 
-            node.exit.judge.observe = observe
+            node.exit.monitor.record_request = observe
         assert (await world.call("/lookup/1"))[0] == 500
         assert seen == [False, True]
 
@@ -54,8 +54,8 @@
         url = f"http://{node.config.listen.callers}/lookup/1"
         async with world.session.get(url, headers=sent) as answer:
             assert answer.status == 200
-        budget = node.attempts.budget("registry")
-        assert [amount for _, amount in budget.lent] == [1.0]
+        budget = node.dispatcher.budget("registry")
+        assert [amount for _, amount in budget.allowance_spent] == [1.0]
 
 
 class TestRetryBudget:
@@ -66,7 +66,7 @@
         self, world
     ):
         await world.start("registry")
-        assert not world.nodes[0].attempts.may_spend(mesh_world.made_call(world))
+        assert not world.nodes[0].dispatcher.may_spend(mesh_world.made_call(world))
 
     # Guards against: calls of a repeat that was given up are taken for new requests.
     async def test_a_call_of_a_repeat_that_was_given_up_is_a_repeat(self, world):
@@ -94,22 +94,22 @@
         mesh_world.use_up(world)
         for number in range(40):
             assert await world.code_of(f"77.{number}") is None
-        assert not node.attempts.may_spend(mesh_world.made_call(world))
+        assert not node.dispatcher.may_spend(mesh_world.made_call(world))
         for number in range(40):
             assert await world.code_of(f"{number:04x}") is None
-        assert node.attempts.may_spend(mesh_world.made_call(world))
+        assert node.dispatcher.may_spend(mesh_world.made_call(world))
 
     # Guards against: a budget keeps to the settings that were in force at its start.
     async def test_a_reload_changes_budgets(self, world, tmp_path):
         await world.start("registry")
         node = world.nodes[0]
-        budget = node.attempts.budget("registry")
-        before = node.membership.sharers.memory
+        budget = node.dispatcher.budget("registry")
+        before = node.membership.sharers.retention
         changed = settings.Repeats(ratio=0.1, least=3.0, window=20.0)
         fresh = msgspec.structs.replace(node.config, repeats=changed)
         path = tmp_path / "node.yaml"
         path.write_bytes(msgspec.yaml.encode(fresh))
-        node.file = settings.File(str(path))
+        node.settings_file = settings.SettingsFile(str(path))
         node.reload()
-        assert budget.settings == changed.limits()
-        assert node.membership.sharers.memory == before + 13.0
+        assert budget.settings == changed.budget_settings()
+        assert node.membership.sharers.retention == before + 13.0
