--- a/tests/test_repeats.py
+++ b/tests/test_retry_budget_policy.py
@@ -7,68 +7,68 @@
 import pytest
 from hypothesis import strategies
 
-from rattanridge.policies import repeats, sharing
+from rattanridge.policies import budget_nodes, retry_budget
 
-SETTINGS = repeats.Settings(0.2, 58.0, 10.0)
+SETTINGS = retry_budget.Settings(0.2, 58.0, 10.0)
 
 
 def take_all(budget, nodes, now):
     """Return how many repeats a budget allows at once."""
     taken = 0
-    while budget.take(nodes, now):
+    while budget.try_spend(nodes, now):
         taken += 1
     return taken
 
 
 class TestBudget:
     def test_a_node_has_its_part_of_the_fixed_rest(self):
-        assert take_all(repeats.Budget(SETTINGS), 16, 5.0) == int(58 / 16)
+        assert take_all(retry_budget.Budget(SETTINGS), 16, 5.0) == int(58 / 16)
 
     def test_a_node_without_a_part_has_nothing(self):
-        assert take_all(repeats.Budget(SETTINGS), 0, 5.0) == 0
+        assert take_all(retry_budget.Budget(SETTINGS), 0, 5.0) == 0
 
     def test_requests_earn_repeats(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         for _ in range(100):
-            budget.note_request(5.0)
-        assert take_all(budget, 0, 5.0) == 100 * SETTINGS.ratio * repeats.PART
+            budget.record_request(5.0)
+        assert take_all(budget, 0, 5.0) == 100 * SETTINGS.ratio * retry_budget.PART
 
     def test_a_request_and_the_fixed_rest_pay_together(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         for _ in range(15):
-            budget.note_request(5.0)
+            budget.record_request(5.0)
         assert take_all(budget, 16, 5.0) == int(1.5 + 58 / 16)
 
     def test_a_request_pays_once(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         for _ in range(100):
-            budget.note_request(5.0)
+            budget.record_request(5.0)
         assert take_all(budget, 0, 5.0) + take_all(budget, 0, 5.1) == 10
 
     def test_a_request_pays_for_a_short_time(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         for _ in range(100):
-            budget.note_request(5.0)
-        assert take_all(budget, 0, 5.0 + 10 * repeats.VALID + 0.01) == 0
+            budget.record_request(5.0)
+        assert take_all(budget, 0, 5.0 + 10 * retry_budget.VALID + 0.01) == 0
 
     def test_the_fixed_rest_comes_back(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         take_all(budget, 16, 5.0)
-        assert not budget.take(16, 5.0 + 12.9)
-        assert budget.take(16, 5.0 + 13.1)
+        assert not budget.try_spend(16, 5.0 + 12.9)
+        assert budget.try_spend(16, 5.0 + 13.1)
 
     def test_fewer_nodes_do_not_bring_back_what_is_spent(self):
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         assert take_all(budget, 16, 5.0) + take_all(budget, 8, 6.0) == int(58 / 8)
 
     def test_calls_of_repeats_are_paid_for(self):
         """A service that sheds: requests to another one fail for it and are sent
         again, and make their calls again."""
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         for _ in range(200):
-            budget.note_request(5.0)
+            budget.record_request(5.0)
         for _ in range(15):
-            assert budget.take(16, 5.0)
+            assert budget.try_spend(16, 5.0)
         assert take_all(budget, 16, 5.0) == int(20 + 58 / 16) - 15
 
 
@@ -97,16 +97,16 @@
     def __init__(self, name, now, rng):
         self.name = name
         self.rng = rng
-        self.budget = repeats.Budget(SETTINGS)
-        self.sharers = sharing.Sharers(name, SETTINGS.span())
+        self.budget = retry_budget.Budget(SETTINGS)
+        self.sharers = budget_nodes.BudgetNodes(name, SETTINGS.span())
         self.listen_at = now
         self.cut_until = now
 
     def listen(self, store, now):
         """Hear the store, now and then, as it was a moment ago."""
         if now >= self.listen_at and now >= self.cut_until:
-            behind = self.rng.uniform(0, sharing.STALE)
-            self.sharers.see(store.names(now - behind), now)
+            behind = self.rng.uniform(0, budget_nodes.STALE)
+            self.sharers.apply_names(store.names(now - behind), now)
             self.listen_at = now + self.rng.uniform(0.8, 11.0)
 
 
@@ -154,7 +154,7 @@
         """Send requests to some nodes for one step."""
         for _ in range(round(rate * self.STEP)):
             self.sent.append(self.now - self.rng.uniform(0, 1.0))
-            self.rng.choice(nodes).budget.note_request(self.now)
+            self.rng.choice(nodes).budget.record_request(self.now)
 
     def spend(self, nodes):
         """Take every repeat that nodes allow."""
@@ -179,7 +179,7 @@
         worst = float("-inf")
         for start in arrived:
             asked = [between(sent, start - back) for back in (0.0, 5.0, 10.0)]
-            allowed = SETTINGS.ratio * max(asked) + SETTINGS.least
+            allowed = SETTINGS.ratio * max(asked) + SETTINGS.min_retries
             worst = max(worst, between(arrived, start) - allowed)
         return worst
 
@@ -217,17 +217,17 @@
     # Guards against: what requests earn counts once in the window of each node.
     def test_load_that_moves_between_nodes(self):
         """Callers leave one half of the nodes for the other; all requests fail."""
-        nodes = [repeats.Budget(SETTINGS) for _ in range(16)]
+        nodes = [retry_budget.Budget(SETTINGS) for _ in range(16)]
         requests, taken = [], []
         for step in range(1999):
             now = step * 0.01
             moved = now >= 10
             node = nodes[step % 8 + 8 * moved]
-            node.note_request(now)
+            node.record_request(now)
             requests.append(now)
             if step in (999, 1998):
                 for failing in nodes[8 * moved :][:8]:
-                    while failing.take(16, now):
+                    while failing.try_spend(16, now):
                         taken.append(now)
         windows = [sum(at <= r < at + 10 for r in requests) for at in (9.99, 4.99, 0)]
         arrived = sum(9.99 <= at < 19.99 for at in taken)
@@ -236,12 +236,12 @@
     @pytest.mark.parametrize("gap", [0.1, 3.0, 6.0, 9.0, 9.9, 12.0])
     def test_bursts_a_window_apart(self, gap):
         """A burst, silence, a burst: what both earn is spent close together."""
-        budget = repeats.Budget(SETTINGS)
+        budget = retry_budget.Budget(SETTINGS)
         requests, taken = [], []
         for begin in (0.0, gap):
             requests += [begin] * 1000
             for _ in range(1000):
-                budget.note_request(begin)
+                budget.record_request(begin)
             taken += [begin + 0.01] * take_all(budget, 0, begin + 0.01)
         for start in taken:
             asked = [between(requests, start - back) for back in (0.0, 5.0, 10.0)]
@@ -257,7 +257,7 @@
             fleet.add()
         fleet.wait(50)
         fleet.spend(fleet.nodes)
-        assert 0 < len(fleet.arrived) <= SETTINGS.least
+        assert 0 < len(fleet.arrived) <= SETTINGS.min_retries
 
     # Guards against: what nodes spent that are gone is spent again by those that stay.
     def test_nodes_that_spend_and_leave(self):
@@ -268,7 +268,7 @@
             fleet.stop(node, True)
         fleet.wait(7)
         for node in fleet.nodes:
-            node.sharers.see(fleet.store.names(fleet.now), fleet.now)
+            node.sharers.apply_names(fleet.store.names(fleet.now), fleet.now)
         fleet.spend(fleet.nodes)
         assert fleet.arrived
         assert fleet.excess() <= 0
--- a/tests/test_sink.py
+++ b/tests/test_sink.py
@@ -24,18 +24,18 @@
 
 class TestGate:
     def test_lets_the_rate_pass_and_counts_the_rest(self):
-        gate = sinks.Gate(20)
+        gate = sinks.RateLimiter(20)
         passed = sum(gate.allow("event", 1.0) for _ in range(500))
         assert passed == 20
-        assert gate.held_back["event"] == 480
+        assert gate.suppressed["event"] == 480
 
     def test_kinds_do_not_share(self):
-        gate = sinks.Gate(1)
+        gate = sinks.RateLimiter(1)
         assert gate.allow("one", 1.0)
         assert gate.allow("two", 1.0)
 
     def test_heaviest_second_is_bounded(self):
-        gate = sinks.Gate(20)
+        gate = sinks.RateLimiter(20)
         passed = sum(gate.allow("event", step / 1000) for step in range(10_000))
         assert passed <= 20 + 10 * 20
 
--- a/tests/test_version_evidence.py
+++ b/tests/test_version_evidence.py
@@ -15,7 +15,7 @@
         seconds = 0.09 * rng.lognormvariate(0.0, 0.5)
         if rng.random() < slow_share:
             seconds *= factor
-        made.add(rng.random() < error_share, seconds)
+        made.record_call(rng.random() < error_share, seconds)
     return made
 
 
@@ -85,7 +85,7 @@
         old.merge(counts(rng, round(rate * step * (1 - share))))
         if evidence.find_fault({ROUTE: old}, {ROUTE: new}):
             return None, bad
-        made.look(ready, {ROUTE: old}, {ROUTE: new})
+        made.advance(ready, {ROUTE: old}, {ROUTE: new})
         if made.done():
             return now, bad
     return None, bad
@@ -124,8 +124,8 @@
         new = {ROUTE: evidence.Counts(calls=90)}
         while not made.out_of_time():
             made.elapsed += 0.35
-            made.room = 1.0 if made.elapsed < 6.0 else room
-            made.look(4, old, new)
+            made.capacity_ratio = 1.0 if made.elapsed < 6.0 else room
+            made.advance(4, old, new)
             assert not made.done()
             if made.elapsed > 6.0 and not made.one_endpoint():
                 assert made.share(2) <= room / (1.0 + room)
@@ -137,7 +137,7 @@
         shares = []
         while not made.out_of_time():
             made.elapsed += 0.35
-            made.look(endpoints, {}, {})
+            made.advance(endpoints, {}, {})
             shares.append(made.share(endpoints))
             assert made.share(endpoints) < ramp.FULL or made.step == len(ramp.STEPS) - 1
         assert shares == sorted(shares)
@@ -145,6 +145,6 @@
     def test_without_endpoints_nothing_moves(self):
         made = ramp.Ramp(14.0)
         made.elapsed = 8.0
-        made.look(0, {}, {})
+        made.advance(0, {}, {})
         assert made.share(0) == 0.0
         assert not made.done()
