--- a/rattanridge/admin/__init__.py
+++ b/rattanridge/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Administration: presets, rollouts and status over HTTP, by token and role."""
+"""Administration API: presets, rollouts and status over HTTP, by token and role."""
--- a/rattanridge/admin/objects.py
+++ b/rattanridge/admin/objects.py
@@ -1,4 +1,4 @@
-"""What operators keep in the store beside the platform's own objects."""
+"""Objects that operators keep in the store, in addition to the platform's own."""
 
 import msgspec
 
@@ -6,13 +6,15 @@
 
 PRESETS = "presets"  # kind: one object for each revision, never changed
 CHOICES = "choices"  # kind: one object for each choice of a preset
-VALUE_MOST = 1_000_000  # bytes of one object; the store takes about a megabyte
+# Bytes of one encoded object; the store accepts about one megabyte.
+MAX_OBJECT_BYTES = 1_000_000
 
 
 class Revision(msgspec.Struct):
     """One revision of a preset.
 
-    :param operator: who put it.
+    :param operator: name of the operator who stored it.
+    :param content: the preset; None where only the revision is listed.
     """
 
     name: str
@@ -24,9 +26,10 @@
 class Choice(msgspec.Struct):
     """An operator's choice of the preset in force.
 
-    :param generation: version of the configuration that it made.
+    :param generation: version of the configuration that the choice produced.
     :param at: seconds since the epoch.
-    :param sending: random name of the write, by which its writer knows it again.
+    :param sending: random ID of the write, by which the writer identifies its own
+        choice when it reads the object back.
     """
 
     generation: int
@@ -38,18 +41,27 @@
 
 
 def revision_key(name: str, revision: int) -> str:
-    """Return the name of a revision's object."""
+    """Return the name of the object that holds a revision."""
     return f"{name}.{revision:08}"
 
 
 def choice_key(generation: int) -> str:
-    """Return the name of a choice's object; names stand in order of time."""
+    """Return the name of the object that holds a choice.
+
+    The names sort by generation, and so in order of time.
+    """
     return f"{generation:010}"
 
 
 def encode(value: object) -> bytes:
-    """Return an object as the store keeps it; refuse what is too large."""
+    """Return an object as JSON for the store.
+
+    Raises ``too-large`` if it has more than ``MAX_OBJECT_BYTES`` bytes.
+    """
     data = msgspec.json.encode(value)
-    if len(data) > VALUE_MOST:
-        raise codes.Failure(codes.TOO_LARGE, f"{len(data)} bytes")
+    if len(data) > MAX_OBJECT_BYTES:
+        raise codes.Failure(
+            codes.TOO_LARGE,
+            f"the object has {len(data)} bytes; at most {MAX_OBJECT_BYTES} are allowed",
+        )
     return data
--- a/rattanridge/admin/presets.py
+++ b/rattanridge/admin/presets.py
@@ -1,8 +1,8 @@
 """Presets in the store: immutable revisions, and the choice of one of them.
 
-To choose a preset is to write the configuration that it stands for, under the
-condition that nobody wrote another one meanwhile. The platform's operator
-writes the same object; so there is one source of truth, whoever chose.
+Choosing a preset writes the configuration generated from it, on condition that the
+stored configuration has not changed since it was read. The platform's operator
+writes the same object, so there is a single source of truth for both.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class Presets:
-    """Puts, shows and chooses presets.
+    """Stores, shows and chooses presets.
 
     :param store: the platform's store.
     """
@@ -26,58 +26,78 @@
     async def put(self, name: str, text: str, operator: str) -> objects.Revision:
         """Check a preset and store it as the next revision.
 
-        The content of the newest revision put once more is that revision.
+        If the content equals that of the newest revision, return that revision and
+        store nothing.
         """
-        # A large document takes a while to read; calls go on meanwhile.
+        # Parsing a large document takes long enough to block the event loop, which
+        # also serves calls.
         preset = await asyncio.to_thread(presets.parse, text, name)
         if preset.name != name:
             detail = f"the document names {preset.name!r}"
             raise codes.Failure(codes.BAD_FIELD, detail, where=name)
-        known = await self.revisions(name)
-        if known and known[-1].content == preset:
-            return without_content(known[-1])
-        number = known[-1].revision + 1 if known else 1
-        made = objects.Revision(name, number, operator, preset)
-        return without_content(await self.create(made))
-
-    async def create(self, made: objects.Revision) -> objects.Revision:
-        """Write a revision; the same content written by another is as good."""
-        key = objects.revision_key(made.name, made.revision)
-        found = await store_writes.create(
-            self.store, objects.PRESETS, key, objects.encode(made)
+        stored = await self.list_revisions(name)
+        if stored and stored[-1].content == preset:
+            return without_content(stored[-1])
+        number = stored[-1].revision + 1 if stored else 1
+        revision = objects.Revision(name, number, operator, preset)
+        return without_content(await self.create_revision(revision))
+
+    async def create_revision(self, new: objects.Revision) -> objects.Revision:
+        """Write a revision; return the stored one.
+
+        A revision that another operator stored first is accepted if its content is
+        the same; otherwise raise ``conflict``.
+        """
+        key = objects.revision_key(new.name, new.revision)
+        stored = await store_writes.create(
+            self.store, objects.PRESETS, key, objects.encode(new)
         )
-        winner = untrusted_json.decode_or_none(found.spec, objects.Revision)
-        if winner is not None and winner.content == made.content:
+        winner = untrusted_json.decode_or_none(stored.spec, objects.Revision)
+        if winner is not None and winner.content == new.content:
             return winner
-        who = winner.operator if winner is not None else "another writer"
-        detail = f"revision {made.revision} was put by {who}"
+        writer = winner.operator if winner is not None else "another writer"
+        detail = f"revision {new.revision} was put by {writer}"
         raise codes.Failure(codes.CONFLICT, detail)
 
-    async def revisions(self, name: str = "") -> list[objects.Revision]:
-        """Return all revisions of one preset, or of all, in order."""
+    async def list_revisions(self, name: str = "") -> list[objects.Revision]:
+        """Return the revisions of one preset, or of all, by name and revision.
+
+        Objects that cannot be decoded are left out.
+        """
         listing = await self.store.list(objects.PRESETS)
-        found = [
+        decoded = [
             untrusted_json.decode_or_none(item.spec, objects.Revision)
             for item in listing.items
         ]
-        kept = [item for item in found if item is not None and item.content is not None]
+        valid = [
+            item for item in decoded if item is not None and item.content is not None
+        ]
         if name:
-            kept = [item for item in kept if item.name == name]
-        return sorted(kept, key=lambda item: (item.name, item.revision))
+            valid = [item for item in valid if item.name == name]
+        return sorted(valid, key=lambda item: (item.name, item.revision))
 
-    async def newest(self) -> list[objects.Revision]:
+    async def list_newest(self) -> list[objects.Revision]:
         """Return the newest revision of each preset, without content."""
-        found = {item.name: item for item in await self.revisions()}
-        return [without_content(found[name]) for name in sorted(found)]
+        newest = {item.name: item for item in await self.list_revisions()}
+        return [without_content(newest[name]) for name in sorted(newest)]
 
     async def show(self, name: str, revision: int = 0) -> objects.Revision:
-        """Return one revision with its content; 0 means the newest."""
-        known = await self.revisions(name)
-        wanted = [item for item in known if not revision or item.revision == revision]
-        if not wanted:
-            detail = f"{name} revision {revision}" if revision else name
+        """Return one revision with its content; 0 means the newest.
+
+        Raises ``no-preset`` if there is none.
+        """
+        stored = await self.list_revisions(name)
+        matching = [
+            item for item in stored if not revision or item.revision == revision
+        ]
+        if not matching:
+            detail = (
+                f"preset {name} has no revision {revision}"
+                if revision
+                else f"preset {name} has no revision"
+            )
             raise codes.Failure(codes.NO_PRESET, detail)
-        return wanted[-1]
+        return matching[-1]
 
     async def use(
         self,
@@ -88,52 +108,60 @@
     ) -> objects.Choice:
         """Put a revision of a preset in force; the newest by default.
 
-        :param expected: generation that the operator saw; another one in force
-            is a conflict that names who chose it.
+        :param expected: generation that the operator saw in force. If another one
+            is in force now, raise a ``conflict`` that names who chose it.
         """
-        wanted = await self.show(name, revision)
+        target = await self.show(name, revision)
         current = await self.store.get(configs.KIND, configs.NAME)
         generation = version_of(current)
         past = await self.history()
-        in_force = find(past, generation)
+        in_force = find_choice(past, generation)
         if expected is not None and expected != generation:
-            raise conflict(generation, in_force)
-        if in_force and (in_force.preset, in_force.revision) == (name, wanted.revision):
+            raise conflict_failure(generation, in_force)
+        if in_force and (in_force.preset, in_force.revision) == (name, target.revision):
             raise codes.Failure(codes.PRESET_IN_FORCE, describe(in_force))
-        last = max([generation, *(item.generation for item in past)])
-        chosen = objects.Choice(
-            generation=last + 1,
+        highest = max([generation, *(item.generation for item in past)])
+        choice = objects.Choice(
+            generation=highest + 1,
             preset=name,
-            revision=wanted.revision,
+            revision=target.revision,
             operator=operator,
             at=round(time.time(), 3),
             sending=secrets.token_hex(6),
         )
-        await self.reserve(chosen)
-        await self.put_in_force(chosen, wanted, current)
-        return chosen
+        await self.reserve(choice)
+        await self.put_in_force(choice, target, current)
+        return choice
 
-    async def reserve(self, chosen: objects.Choice) -> None:
-        """Write the choice before it takes effect; of racing operators one may."""
-        found = await store_writes.create(
+    async def reserve(self, choice: objects.Choice) -> None:
+        """Write the choice before it takes effect.
+
+        Of several operators who choose the same generation at once, only one
+        succeeds; for the others, raise ``conflict``.
+        """
+        stored = await store_writes.create(
             self.store,
             objects.CHOICES,
-            objects.choice_key(chosen.generation),
-            objects.encode(chosen),
+            objects.choice_key(choice.generation),
+            objects.encode(choice),
         )
-        winner = untrusted_json.decode_or_none(found.spec, objects.Choice)
-        if winner != chosen:
-            raise conflict(chosen.generation, winner)
+        winner = untrusted_json.decode_or_none(stored.spec, objects.Choice)
+        if winner != choice:
+            raise conflict_failure(choice.generation, winner)
 
     async def put_in_force(
         self,
-        chosen: objects.Choice,
-        wanted: objects.Revision,
+        choice: objects.Choice,
+        target: objects.Revision,
         current: stores.StoredObject | None,
     ) -> None:
-        """Write the configuration; a choice that lost is taken out again."""
+        """Write the configuration that a choice stands for.
+
+        If the stored configuration is no longer ``current``, withdraw the choice and
+        raise ``conflict``.
+        """
         data = configs.encode(
-            presets.make_configuration(wanted.content, chosen.generation)
+            presets.make_configuration(target.content, choice.generation)
         )
         revision = current.revision if current else 0
         try:
@@ -142,29 +170,32 @@
             )
         except codes.Failure as failure:
             if failure.code is codes.PLATFORM_CONFLICT:
-                await self.withdraw(chosen)
-                raise conflict(0, None)
+                await self.withdraw(choice)
+                raise conflict_failure(0, None)
             raise
 
-    async def withdraw(self, chosen: objects.Choice) -> None:
-        """Remove a choice that never took effect."""
-        key = objects.choice_key(chosen.generation)
+    async def withdraw(self, choice: objects.Choice) -> None:
+        """Delete a choice that never took effect."""
+        key = objects.choice_key(choice.generation)
         stored = await self.store.get(objects.CHOICES, key)
         if stored is not None:
             await self.store.delete(objects.CHOICES, key, stored.revision)
 
     async def history(self) -> list[objects.Choice]:
-        """Return the choices, the oldest first."""
+        """Return the choices that can be decoded, the oldest first."""
         listing = await self.store.list(objects.CHOICES)
-        found = [
+        decoded = [
             untrusted_json.decode_or_none(item.spec, objects.Choice)
             for item in listing.items
         ]
-        kept = [item for item in found if item is not None]
-        return sorted(kept, key=lambda item: item.generation)
+        valid = [item for item in decoded if item is not None]
+        return sorted(valid, key=lambda item: item.generation)
 
-    async def in_force(self, generation: int) -> objects.Choice | None:
-        """Return the choice that made a generation, if an operator made it here."""
+    async def get_choice(self, generation: int) -> objects.Choice | None:
+        """Return the choice that produced a generation.
+
+        Returns None if the platform's operator wrote that generation.
+        """
         key = objects.choice_key(generation)
         stored = await self.store.get(objects.CHOICES, key)
         return (
@@ -175,18 +206,18 @@
 
 
 def version_of(stored: stores.StoredObject | None) -> int:
-    """Return the version of the stored configuration; 0 if none can be read."""
+    """Return the version of the stored configuration; 0 if it is absent or invalid."""
     if stored is None:
         return 0
     try:
         return configs.decode(stored.spec).version
     except codes.Failure:
-        # Whoever chooses next puts a readable one in its place.
+        # The next choice replaces it by a valid one.
         return 0
 
 
-def find(past: list[objects.Choice], generation: int) -> objects.Choice | None:
-    """Return the choice of a generation."""
+def find_choice(past: list[objects.Choice], generation: int) -> objects.Choice | None:
+    """Return the choice that produced a generation; None if there is none."""
     for item in past:
         if item.generation == generation:
             return item
@@ -194,20 +225,24 @@
 
 
 def without_content(item: objects.Revision) -> objects.Revision:
-    """Return a revision as lists show it."""
+    """Return a revision without its preset, for lists."""
     return objects.Revision(item.name, item.revision, item.operator)
 
 
 def describe(choice: objects.Choice) -> str:
-    """Return one line that tells a choice and who made it."""
+    """Return one line that describes a choice and names its operator."""
     return (
         f"generation {choice.generation} is in force: preset {choice.preset} "
         f"revision {choice.revision}, chosen by {choice.operator}"
     )
 
 
-def conflict(generation: int, winner: objects.Choice | None) -> codes.Failure:
-    """Return the failure of an operator who lost a race."""
+def conflict_failure(generation: int, winner: objects.Choice | None) -> codes.Failure:
+    """Return the failure of an operator whose choice conflicts with another one.
+
+    :param generation: generation in force; 0 if it is not known.
+    :param winner: the choice in force; None if it is not an operator's choice here.
+    """
     if winner is not None:
         return codes.Failure(codes.CONFLICT, describe(winner))
     if generation:
--- a/rattanridge/admin/rollouts.py
+++ b/rattanridge/admin/rollouts.py
@@ -10,15 +10,16 @@
 from rattanridge.platform import orders, store as stores
 from rattanridge.policies import ramp
 
-CANCEL_TRIES = 5
+CANCEL_ATTEMPTS = 5
 
 
 class Start(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What an operator asks for.
+    """An operator's request to start a rollout.
 
-    :param old: version that traffic leaves, if it is to be checked.
-    :param new: version that it goes to.
-    :param deadline: seconds from now by which the new version has taken over.
+    :param old: version that traffic leaves; it must have an endpoint. Empty to skip
+        this check.
+    :param new: version that traffic goes to.
+    :param deadline: seconds from now within which the rollout must complete.
     """
 
     old: str = ""
@@ -29,7 +30,7 @@
 class Step(msgspec.Struct):
     """One step of the plan.
 
-    :param share: part of the requests; 0: as many as load one endpoint fully.
+    :param share: fraction of the requests; 0 means the full load of one endpoint.
     """
 
     share: float
@@ -40,10 +41,11 @@
     """The newest rollout of a service.
 
     :param state: ``running``, ``completed`` or ``rolled_back``.
-    :param share: part of the requests that the new version gets.
+    :param deadline: seconds, from the start, within which it must complete.
+    :param share: fraction of the requests that the new version gets.
     :param step: index of the step in force.
-    :param holder: node that coordinates it.
-    :param reason: why it ended.
+    :param holder: name of the node that coordinates it.
+    :param reason: why it ended; empty while it runs.
     """
 
     service: str
@@ -60,23 +62,27 @@
 class Rollouts:
     """Starts, shows and cancels rollouts in the store.
 
-    :param node: the node that serves the operator.
+    :param node: the node that serves the administration request.
     """
 
     def __init__(self, node: nodes.Node):
         self.node = node
         self.store = node.store
 
-    async def start(self, service: str, asked: Start) -> Rollout:
-        """Start a rollout; of racing operators one succeeds."""
-        self.check(service, asked)
+    async def start(self, service: str, requested: Start) -> Rollout:
+        """Start a rollout.
+
+        Raises ``rollout-running`` if one is running already, or if another operator
+        starts one at the same time.
+        """
+        self.check_versions(service, requested)
         stored = await self.store.get(orders.KIND, service)
-        known = read(stored) if stored is not None else None
-        if known is not None and known.state == orders.RUNNING:
-            raise running(known)
-        order = orders.Order(service, asked.new, asked.deadline)
+        current = decode_rollout(stored) if stored is not None else None
+        if current is not None and current.state == orders.RUNNING:
+            raise running_failure(current)
+        order = orders.Order(service, requested.new, requested.deadline)
         try:
-            made = await store_writes.replace(
+            written = await store_writes.replace(
                 self.store,
                 orders.KIND,
                 service,
@@ -86,54 +92,68 @@
         except codes.Failure as failure:
             if failure.code is not codes.PLATFORM_CONFLICT:
                 raise
-            raise running(read(await self.find(service)))
-        return read(made)
+            raise running_failure(decode_rollout(await self.get_stored(service)))
+        return decode_rollout(written)
 
-    def check(self, service: str, asked: Start) -> None:
-        """Refuse versions that are the same or have no endpoint."""
-        if asked.old == asked.new:
+    def check_versions(self, service: str, requested: Start) -> None:
+        """Raise ``rollout-versions`` if the versions are equal or lack an endpoint."""
+        if requested.old == requested.new:
             raise codes.Failure(codes.ROLLOUT_VERSIONS, "both versions are the same")
-        known = {item.version for item in self.node.directory.candidates_of(service)}
-        for version in (asked.old, asked.new):
-            if version and version not in known:
+        available = {
+            item.version for item in self.node.directory.candidates_of(service)
+        }
+        for version in (requested.old, requested.new):
+            if version and version not in available:
                 detail = f"no endpoint of {service} {version} is ready"
                 raise codes.Failure(codes.ROLLOUT_VERSIONS, detail)
 
     async def list(self) -> list[Rollout]:
-        """Return the newest rollout of each service."""
+        """Return the newest rollout of each service.
+
+        Rollouts that cannot be decoded are logged and left out.
+        """
         listing = await self.store.list(orders.KIND)
-        found = []
+        rollouts = []
         for stored in listing.items:
             try:
-                found.append(read(stored))
+                rollouts.append(decode_rollout(stored))
             except codes.Failure as failure:
                 self.node.log.note(
                     "rollout-unreadable", name=stored.name, why=str(failure)
                 )
-        return found
+        return rollouts
 
     async def show(self, service: str) -> Rollout:
         """Return the newest rollout of a service."""
-        return read(await self.find(service))
+        return decode_rollout(await self.get_stored(service))
 
-    async def find(self, service: str) -> stores.StoredObject:
-        """Return the object of a service's newest rollout."""
+    async def get_stored(self, service: str) -> stores.StoredObject:
+        """Return the stored object of a service's newest rollout.
+
+        Raises ``rollout-missing`` if there is none.
+        """
         stored = await self.store.get(orders.KIND, service)
         if stored is None:
-            raise codes.Failure(codes.ROLLOUT_MISSING, service)
+            raise codes.Failure(
+                codes.ROLLOUT_MISSING, f"service {service} has no rollout"
+            )
         return stored
 
     async def cancel(self, service: str, operator: str) -> Rollout:
-        """Take a running rollout back; the coordinator may write meanwhile."""
-        for _ in range(CANCEL_TRIES):
-            stored = await self.find(service)
-            known = read(stored)
-            if known.state != orders.RUNNING:
-                detail = f"the rollout of {service} to {known.new} is {known.state}"
+        """Roll back a running rollout.
+
+        The coordinator may write the status at the same time, so the write is
+        attempted up to ``CANCEL_ATTEMPTS`` times.
+        """
+        for _ in range(CANCEL_ATTEMPTS):
+            stored = await self.get_stored(service)
+            current = decode_rollout(stored)
+            if current.state != orders.RUNNING:
+                detail = f"the rollout of {service} to {current.new} is {current.state}"
                 raise codes.Failure(codes.ROLLOUT_ENDED, detail)
-            status = cancelled(stored, operator)
+            status = cancelled_status(stored, operator)
             try:
-                return read(
+                return decode_rollout(
                     await self.store.replace_status(
                         orders.KIND,
                         service,
@@ -147,8 +167,8 @@
         raise codes.Failure(codes.CONFLICT, f"{service} changes all the time")
 
 
-def cancelled(stored: stores.StoredObject, operator: str) -> orders.Status:
-    """Return the status that takes an order back for an operator."""
+def cancelled_status(stored: stores.StoredObject, operator: str) -> orders.Status:
+    """Return the status that rolls back an order on an operator's request."""
     status = status_of(orders.decode_order(stored.spec), stored)
     return dataclasses.replace(
         status,
@@ -161,13 +181,19 @@
 
 
 def status_of(order: orders.Order, stored: stores.StoredObject) -> orders.Status:
-    """Return the status of a stored order; one without an answer is running."""
-    found = versions.current_status(order, orders.decode_status(stored.status))
-    return found or orders.Status(orders.RUNNING, order.version)
+    """Return the status of a stored order.
+
+    An order without a status of its own counts as running.
+    """
+    status = versions.current_status(order, orders.decode_status(stored.status))
+    return status or orders.Status(orders.RUNNING, order.version)
 
 
-def read(stored: stores.StoredObject) -> Rollout:
-    """Return an order with its status as operators see it."""
+def decode_rollout(stored: stores.StoredObject) -> Rollout:
+    """Decode a stored order and its status into the form that operators get.
+
+    Raises ``bad-field`` if the order is invalid.
+    """
     order = orders.decode_order(stored.spec)
     status = status_of(order, stored)
     return Rollout(
@@ -183,20 +209,20 @@
     )
 
 
-def running(known: Rollout) -> codes.Failure:
-    """Return the failure that names the rollout in the way."""
-    detail = f"the rollout of {known.service} to {known.new} is {known.state}"
+def running_failure(current: Rollout) -> codes.Failure:
+    """Return the failure of a start while another rollout is running."""
+    detail = f"the rollout of {current.service} to {current.new} is {current.state}"
     return codes.Failure(codes.ROLLOUT_RUNNING, detail)
 
 
 @server.operation("PUT", "/rollouts/<service>", "operator")
 async def start_rollout(served: server.Server, request: server.Request) -> object:
-    """Start a rollout."""
+    """Start a rollout of a service."""
     try:
-        asked = msgspec.json.decode(request.body, type=Start)
+        requested = msgspec.json.decode(request.body, type=Start)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise codes.Failure(codes.ADMIN_BAD_REQUEST, str(error))
-    return await Rollouts(served.node).start(request.arguments["service"], asked)
+    return await Rollouts(served.node).start(request.arguments["service"], requested)
 
 
 @server.operation("GET", "/rollouts", "viewer")
@@ -213,7 +239,7 @@
 
 @server.operation("POST", "/rollouts/<service>/cancel", "operator")
 async def cancel_rollout(served: server.Server, request: server.Request) -> object:
-    """Take a running rollout back."""
+    """Roll back the running rollout of a service."""
     return await Rollouts(served.node).cancel(
         request.arguments["service"], request.operator
     )
--- a/rattanridge/admin/server.py
+++ b/rattanridge/admin/server.py
@@ -13,15 +13,17 @@
 from rattanridge.mesh import node as nodes
 from rattanridge.web import bodies
 
-BODY_BYTES = 1_000_000
-ACTIVE_MOST = 32  # requests at once, so that none pile up on a slow platform
+MAX_BODY_BYTES = 1_000_000
+# Requests served at once; further ones are refused, so that they do not queue up
+# while the platform is slow.
+MAX_ACTIVE_REQUESTS = 32
 NAME = r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}"
 NUMBER = re.compile(r"[0-9]{1,9}")
-ROLES = ("viewer", "operator")
+ROLES = ("viewer", "operator")  # each includes the rights of those before it
 
 
 class Error(msgspec.Struct):
-    """Body of a refused administration request."""
+    """Body of the response to a refused administration request."""
 
     code: int
     name: str
@@ -30,10 +32,10 @@
 
 
 class Request(msgspec.Struct):
-    """One administration request after token and role were checked.
+    """One administration request whose token and role have been checked.
 
     :param operator: name of the token.
-    :param arguments: parts of the path that the handler's pattern names.
+    :param arguments: path parts by the names in the operation's pattern.
     """
 
     operator: str
@@ -41,8 +43,11 @@
     query: dict[str, str]
     body: bytes
 
-    def number(self, name: str) -> int | None:
-        """Return a whole number of the query; ``None`` if it is not there."""
+    def query_int(self, name: str) -> int | None:
+        """Return an integer query parameter; None if it is absent or empty.
+
+        Raises ``admin-bad-request`` unless it has one to nine decimal digits.
+        """
         text = self.query.get(name, "")
         if not text:
             return None
@@ -52,7 +57,7 @@
 
 
 class Operation(msgspec.Struct):
-    """A handler with its method, path pattern and the role that it needs."""
+    """A handler with its HTTP method, path pattern and required role."""
 
     method: str
     pattern: re.Pattern
@@ -66,7 +71,8 @@
 def operation(method: str, path: str, role: str) -> typing.Any:
     """Register a handler ``async (server, request) -> object``.
 
-    :param path: pattern in which ``<name>`` stands for one part of the path.
+    :param path: pattern in which ``<name>`` matches one part of the path.
+    :param role: least role that may run the operation; see ``ROLES``.
     """
     pattern = re.compile(re.sub(r"<(\w+)>", rf"(?P<\1>{NAME})", path))
 
@@ -79,9 +85,9 @@
 
 
 class Server:
-    """Serves operators.
+    """Serves the administration API to operators.
 
-    :param node: the node beside which it runs.
+    :param node: the node in whose process the server runs.
     """
 
     def __init__(self, node: nodes.Node):
@@ -90,7 +96,7 @@
         self.config = node.config
         self.counters = node.meters
         self.presets = preset_store.Presets(node.store)
-        self.status = status.Status(node)
+        self.status = status.StatusCollector(node)
         self.log = node.log
         self.active = 0
 
@@ -108,7 +114,7 @@
     def refuse(
         self, request: aiohttp.web.BaseRequest, failure: codes.Failure
     ) -> aiohttp.web.Response:
-        """Count and log a refusal; return the answer that tells it."""
+        """Count and log a refusal; return the response for it."""
         code = failure.code
         self.counters.add(f"admin.refused.{code.name}")
         self.log.note(
@@ -118,18 +124,22 @@
         return respond(body, code.status)
 
     async def dispatch(self, request: aiohttp.web.BaseRequest) -> object:
-        """Check token, path and role, then run the operation."""
+        """Check token, path and role, then run the operation and return its result."""
         token = self.authenticate(request)
-        found, arguments = self.find(request.method, request.path)
-        if ROLES.index(token.role) < ROLES.index(found.role):
-            raise codes.Failure(codes.WRONG_ROLE, f"{token.name} is {token.role}")
-        if self.active > ACTIVE_MOST:
+        matched, arguments = self.find_operation(request.method, request.path)
+        if ROLES.index(token.role) < ROLES.index(matched.role):
+            raise codes.Failure(
+                codes.WRONG_ROLE,
+                f"token {token.name} has role {token.role}; "
+                f"the operation requires role {matched.role}",
+            )
+        if self.active > MAX_ACTIVE_REQUESTS:
             raise codes.Failure(codes.ADMIN_BUSY)
-        body = await bodies.read_body(request, BODY_BYTES)
-        asked = Request(token.name, arguments, dict(request.query), body)
-        result = await found.handler(self, asked)
+        body = await bodies.read_body(request, MAX_BODY_BYTES)
+        checked = Request(token.name, arguments, dict(request.query), body)
+        result = await matched.handler(self, checked)
         self.counters.add("admin.done")
-        if found.method != "GET":
+        if matched.method != "GET":
             self.log.info(
                 "admin-done",
                 operator=token.name,
@@ -139,30 +149,42 @@
         return result
 
     def authenticate(self, request: aiohttp.web.BaseRequest) -> settings.Token:
-        """Return the token that was sent; every token is compared in full."""
-        kind, _, secret = request.headers.get("Authorization", "").partition(" ")
+        """Return the settings of the bearer token that was sent.
+
+        All tokens are compared, each in full, so that the response time does not show
+        how much of a secret was right. Raises ``no-token`` if none matches.
+        """
+        scheme, _, secret = request.headers.get("Authorization", "").partition(" ")
         sent = secret.encode(errors="surrogateescape")
-        found = None
+        matched = None
         for token in self.config.tokens:
             if hmac.compare_digest(token.secret.encode(), sent):
-                found = token
-        if found is None or kind.lower() != "bearer":
+                matched = token
+        if matched is None or scheme.lower() != "bearer":
             raise codes.Failure(codes.NO_TOKEN)
-        return found
+        return matched
 
-    def find(self, method: str, path: str) -> tuple[Operation, dict[str, str]]:
-        """Return the operation of a path, and the parts that its pattern names."""
-        fitting = [
+    def find_operation(
+        self, method: str, path: str
+    ) -> tuple[Operation, dict[str, str]]:
+        """Return the operation for a request, and the named parts of its path.
+
+        Raises ``no-operation`` for an unknown path and ``wrong-method`` for a known
+        path with another method.
+        """
+        matching = [
             (item, match.groupdict())
             for item in OPERATIONS.items.values()
             if (match := item.pattern.fullmatch(path))
         ]
-        if not fitting:
-            raise codes.Failure(codes.NO_OPERATION, path)
-        for item, arguments in fitting:
+        if not matching:
+            raise codes.Failure(codes.NO_OPERATION, f"no operation has the path {path}")
+        for item, arguments in matching:
             if item.method == method:
                 return item, arguments
-        raise codes.Failure(codes.WRONG_METHOD, f"{method} {path}")
+        raise codes.Failure(
+            codes.WRONG_METHOD, f"{path} does not accept the method {method}"
+        )
 
 
 def respond(body: object, status: int = 200) -> aiohttp.web.Response:
@@ -183,47 +205,47 @@
 @operation("GET", "/presets", "viewer")
 async def list_presets(server: Server, request: Request) -> object:
     """Return the newest revision of each preset."""
-    return await server.presets.newest()
+    return await server.presets.list_newest()
 
 
 @operation("GET", "/presets/<name>", "viewer")
 async def show_preset(server: Server, request: Request) -> object:
-    """Return one revision with its content."""
-    revision = request.number("revision") or 0
+    """Return one revision of a preset with its content."""
+    revision = request.query_int("revision") or 0
     return await server.presets.show(request.arguments["name"], revision)
 
 
 @operation("POST", "/presets/<name>/use", "operator")
 async def use_preset(server: Server, request: Request) -> object:
-    """Put a revision in force."""
+    """Put a revision of a preset in force."""
     return await server.presets.use(
         request.arguments["name"],
         request.operator,
-        request.number("generation"),
-        request.number("revision") or 0,
+        request.query_int("generation"),
+        request.query_int("revision") or 0,
     )
 
 
 @operation("GET", "/history", "viewer")
 async def show_history(server: Server, request: Request) -> object:
-    """Return the choices, the oldest first."""
+    """Return the choices of presets, the oldest first."""
     return await server.presets.history()
 
 
 @operation("GET", "/status", "viewer")
 async def show_status(server: Server, request: Request) -> object:
-    """Return the system's state."""
+    """Return the state of the system."""
     return await server.status.collect()
 
 
 @operation("GET", "/counters", "viewer")
 async def show_counters(server: Server, request: Request) -> object:
-    """Return this node's counters by name and labels."""
+    """Return the counters of this node by name and labels."""
     return server.counters.values()
 
 
 def decode_text(body: bytes) -> str:
-    """Return a body as text; raise a coded failure if it is not UTF-8."""
+    """Return a body as text; raise ``bad-yaml`` if it is not UTF-8."""
     try:
         return body.decode()
     except UnicodeDecodeError as error:
--- a/rattanridge/admin/status.py
+++ b/rattanridge/admin/status.py
@@ -1,4 +1,4 @@
-"""What an operator sees: configuration in force, nodes, endpoints, rollouts."""
+"""Status reports: configuration in force, nodes, endpoints and rollouts."""
 
 import asyncio
 
@@ -8,13 +8,14 @@
 from rattanridge.kernel import codes, untrusted_json
 from rattanridge.mesh import configs, node as nodes
 
-AT_ONCE = 64  # nodes that are asked at the same time
+MAX_CONCURRENT_FETCHES = 64  # nodes whose state is fetched at the same time
 
 
-class Behind(msgspec.Struct):
+class LaggingNode(msgspec.Struct):
     """A node that does not apply the newest generation, and why.
 
-    :param code: result code; 0 if it has not told any.
+    :param generation: generation that it applies; 0 if that is not known.
+    :param code: result code; 0 if there is none.
     """
 
     node: str
@@ -24,7 +25,11 @@
 
 
 class Rollout(msgspec.Struct):
-    """A rollout as the node that answers knows it."""
+    """A rollout as seen by the node that answers.
+
+    :param new: version that traffic goes to.
+    :param share: fraction of the requests that the new version gets.
+    """
 
     service: str
     new: str
@@ -33,18 +38,20 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """The system's state as one node and the store tell it.
+    """The state of the system, collected by one node.
 
-    :param platform: ``up`` or the reason why it can't be reached.
+    :param platform: ``up``, or the reason why the platform cannot be reached.
     :param node: name of the node that answers.
     :param node_generation: generation in force at that node.
-    :param preset: preset that made it; empty if the platform's operator did.
+    :param preset: preset from which that generation was produced; empty if the
+        platform's operator wrote it.
+    :param revision: revision of that preset; 0 if there is none.
     :param operator: who chose that preset.
     :param generation: highest generation that any node applies.
-    :param nodes: number of nodes known by their records.
+    :param nodes: number of nodes that have a record.
     :param applied: number of nodes by generation.
     :param behind: nodes that do not apply the highest generation.
-    :param refused: why nodes refuse a configuration, by node.
+    :param refused: reason for which a node refuses a configuration, by node.
     :param endpoints: number of endpoints by service, version and state.
     """
 
@@ -57,16 +64,16 @@
     generation: int = 0
     nodes: int = 0
     applied: dict[str, int] = {}
-    behind: list[Behind] = []
+    behind: list[LaggingNode] = []
     refused: dict[str, str] = {}
     endpoints: dict[str, int] = {}
     rollouts: list[Rollout] = []
 
 
-class Status:
-    """Collects reports.
+class StatusCollector:
+    """Collects status reports.
 
-    :param node: the node that serves the operator.
+    :param node: the node that serves the administration request.
     """
 
     def __init__(self, node: nodes.Node):
@@ -74,12 +81,16 @@
         self.presets = presets.Presets(node.store)
 
     async def collect(self) -> Report:
-        """Return a report; what the store alone knows may be missing."""
-        report = self.local()
-        found = await self.ask_nodes()
-        add_nodes(report, found)
+        """Return a report of the whole system.
+
+        If the store does not answer, the preset and its operator are missing and
+        ``platform`` gives the reason.
+        """
+        report = self.local_report()
+        states = await self.fetch_states()
+        add_node_states(report, states)
         try:
-            choice = await self.presets.in_force(report.node_generation)
+            choice = await self.presets.get_choice(report.node_generation)
         except codes.Failure as failure:
             report.platform = failure.format()
             return report
@@ -89,8 +100,8 @@
             report.operator = choice.operator
         return report
 
-    def local(self) -> Report:
-        """Return what this node knows by itself."""
+    def local_report(self) -> Report:
+        """Return a report from the data of this node alone."""
         node = self.node
         report = Report(
             platform="up", node=node.config.name, node_generation=node.configs.version
@@ -104,43 +115,43 @@
             )
         return report
 
-    async def ask_nodes(self) -> dict[str, configs.State | None]:
-        """Ask every known node what it has in force."""
+    async def fetch_states(self) -> dict[str, configs.State | None]:
+        """Fetch the state of every node by name; None for one that does not answer."""
         node = self.node
-        limit = asyncio.Semaphore(AT_ONCE)
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_FETCHES)
 
-        async def ask(name: str, address: str) -> tuple[str, configs.State | None]:
-            async with limit:
+        async def fetch(name: str, address: str) -> tuple[str, configs.State | None]:
+            async with semaphore:
                 data = await node.fetch(address, configs.STATE_PATH)
-            return name, read_state(data)
+            return name, decode_state(data)
 
-        found = await asyncio.gather(
+        states = await asyncio.gather(
             *(
-                ask(name, record.hop)
+                fetch(name, record.hop)
                 for name, record in node.directory.records.items()
                 if name != node.config.name
             )
         )
-        own = read_state(node.configs.state())
-        return {node.config.name: own, **dict(found)}
+        own = decode_state(node.configs.state())
+        return {node.config.name: own, **dict(states)}
 
 
-def read_state(data: bytes | None) -> configs.State | None:
-    """Decode a node's answer; None if it gave none."""
+def decode_state(data: bytes | None) -> configs.State | None:
+    """Decode a node's response; None if there was none or it is unreadable."""
     return (
         untrusted_json.decode_or_none(data, configs.State) if data is not None else None
     )
 
 
-def add_nodes(report: Report, found: dict[str, configs.State | None]) -> None:
-    """Count the nodes by generation, and name those that are behind."""
-    report.nodes = len(found)
-    told = [item.version for item in found.values() if item is not None]
-    report.generation = max(told, default=0)
-    for name, state in sorted(found.items()):
+def add_node_states(report: Report, states: dict[str, configs.State | None]) -> None:
+    """Add the nodes to a report: counts by generation, and those that lag behind."""
+    report.nodes = len(states)
+    generations = [item.version for item in states.values() if item is not None]
+    report.generation = max(generations, default=0)
+    for name, state in sorted(states.items()):
         if state is None:
             code = codes.NODE_LOST
-            report.behind.append(Behind(name, 0, code.number, code.meaning))
+            report.behind.append(LaggingNode(name, 0, code.number, code.meaning))
             continue
         key = str(state.version)
         report.applied[key] = report.applied.get(key, 0) + 1
@@ -148,4 +159,4 @@
             report.refused[name] = state.refused
         if state.version < report.generation:
             reason = state.refused or "it has not heard of the newest one"
-            report.behind.append(Behind(name, state.version, 0, reason))
+            report.behind.append(LaggingNode(name, state.version, 0, reason))
--- a/rattanridge/admin/store_writes.py
+++ b/rattanridge/admin/store_writes.py
@@ -1,4 +1,8 @@
-"""Writes whose answer may be lost: repeated until the store says what it holds."""
+"""Store writes that are retried until their outcome is known.
+
+The response to a write may be lost, so a failed write is followed by a read that
+shows what the store holds.
+"""
 
 import asyncio
 
@@ -7,60 +11,69 @@
 from rattanridge.kernel import codes
 from rattanridge.platform import store as stores
 
-TRIES = 4
-PAUSE = 0.2  # seconds before the second try; doubles
+MAX_ATTEMPTS = 4
+INITIAL_BACKOFF = 0.2  # seconds before the second attempt; doubles after each
 
 
 async def create(
     store: stores.Store, kind: str, name: str, spec: bytes
 ) -> stores.StoredObject:
-    """Create an object; return the one that the store holds then, whoever made it."""
-    return await write(store, kind, name, spec, 0, lambda found: True)
+    """Create an object; return the object that the store holds afterwards.
+
+    If another writer created it first, that writer's object is returned.
+    """
+    return await write(store, kind, name, spec, 0, lambda stored: True)
 
 
 async def replace(
     store: stores.Store, kind: str, name: str, spec: bytes, revision: int
 ) -> stores.StoredObject:
-    """Write an object's spec if its revision is still the one given.
+    """Replace an object's spec if its revision is still the given one.
 
-    :param revision: 0 if there must be none yet.
+    :param revision: 0 if the object must not exist yet.
     """
     return await write(
-        store, kind, name, spec, revision, lambda found: same(found.spec, spec)
+        store, kind, name, spec, revision, lambda stored: same_json(stored.spec, spec)
     )
 
 
 async def write(
-    store: stores.Store, kind: str, name: str, spec: bytes, revision: int, settles
+    store: stores.Store, kind: str, name: str, spec: bytes, revision: int, is_acceptable
 ) -> stores.StoredObject:
-    """Write until the store's answer, or what it holds, settles the matter.
+    """Write an object, with retries, until the outcome is known.
 
-    :param settles: whether an object found in the store is a good outcome.
+    :param is_acceptable: returns whether an object that the store holds after a
+        failed write counts as a success.
     """
-    pause = PAUSE
-    for left in reversed(range(TRIES)):
+    backoff = INITIAL_BACKOFF
+    for attempts_left in reversed(range(MAX_ATTEMPTS)):
         try:
             if revision:
                 return await store.replace(kind, name, spec, revision)
             return await store.create(kind, name, spec)
         except codes.Failure as failure:
-            lost = failure.code is codes.PLATFORM_CONFLICT
-            if not lost and failure.code not in stores.TRANSIENT_CODES:
+            conflict = failure.code is codes.PLATFORM_CONFLICT
+            if not conflict and failure.code not in stores.TRANSIENT_CODES:
                 raise
-            found = await read_back(store, kind, name, failure)
-            if found is not None and settles(found):
-                return found
-            if lost or not left:
+            stored = await read_back(store, kind, name, failure)
+            if stored is not None and is_acceptable(stored):
+                return stored
+            if conflict or not attempts_left:
                 raise
-        await asyncio.sleep(pause)
-        pause *= 2
+        await asyncio.sleep(backoff)
+        backoff *= 2
     raise AssertionError("not reached")
 
 
 async def read_back(
     store: stores.Store, kind: str, name: str, failure: codes.Failure
 ) -> stores.StoredObject | None:
-    """Return what the store holds; raise the write's failure if it can't tell."""
+    """Return the object that the store holds after a failed write.
+
+    Returns None if there is none, if the store was too busy for the write to take
+    effect, or if the read failed for a reason that may pass. Raises the write's
+    ``failure`` if the read failed for any other reason.
+    """
     if failure.code is codes.PLATFORM_BUSY:
         return None
     try:
@@ -71,6 +84,6 @@
         raise failure
 
 
-def same(first: bytes, second: bytes) -> bool:
-    """Whether two texts hold the same JSON, however it is written."""
+def same_json(first: bytes, second: bytes) -> bool:
+    """Return whether two texts encode the same JSON value."""
     return msgspec.json.decode(first) == msgspec.json.decode(second)
--- a/rattanridge/cli/__init__.py
+++ b/rattanridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command line: one module for each group of commands."""
+"""Command line interface: one module for each command or group of commands."""
--- a/rattanridge/cli/check.py
+++ b/rattanridge/cli/check.py
@@ -1,4 +1,4 @@
-"""Commands that check files and print the table of codes."""
+"""Commands ``check``, which validates a file, and ``codes``, which lists the codes."""
 
 import typing
 
@@ -14,10 +14,13 @@
 @click.command()
 @click.argument("file")
 def check(file: str) -> None:
-    """Check a settings or preset FILE; exit 2 with code and line on an error."""
+    """Check the settings or preset in FILE.
+
+    If it is invalid, print the error with its code and line, and exit with status 2.
+    """
     registry.load_plugins(policies)
     text = documents.read(file)
-    if "routes" in top_keys(text, file):
+    if "routes" in top_level_keys(text, file):
         preset = presets.parse(text, file)
         click.echo(f"{file}: preset {preset.name}: {len(preset.routes)} routes")
     else:
@@ -25,10 +28,10 @@
         click.echo(f"{file}: settings of node {node.name}")
 
 
-def top_keys(text: str, file: str) -> set[str]:
-    """Return the document's top keys, to tell presets from settings."""
-    value = documents.decode(text, dict[str, typing.Any], file)
-    return set(map(str, value))
+def top_level_keys(text: str, file: str) -> set[str]:
+    """Return the top-level keys of a document, which tell presets from settings."""
+    document = documents.decode(text, dict[str, typing.Any], file)
+    return set(map(str, document))
 
 
 @main.COMMANDS.register("codes")
@@ -39,7 +42,7 @@
 
 
 def format_table() -> str:
-    """Return the table of codes for the docs."""
+    """Return the table of result codes as Markdown, for the documentation."""
     lines = [
         "| code | name | HTTP status | exit | meaning |",
         "| --- | --- | --- | --- | --- |",
--- a/rattanridge/cli/main.py
+++ b/rattanridge/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the command ``rattanridge``."""
+"""Entry point of the command line ``rattanridge``."""
 
 import importlib
 import sys
@@ -11,15 +11,17 @@
 COMMANDS: registry.Registry[click.Command] = registry.Registry("command")
 
 
-class Main(click.Group):
-    """The command group; its commands register themselves on first use."""
+class LazyGroup(click.Group):
+    """Command group that imports the module of a command on first use."""
 
     def list_commands(self, context: click.Context) -> list[str]:
         registry.load_plugins(package)
         return COMMANDS.names()
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        # A node must not pay for the modules of the other commands.
+        # Only the module of the requested command is imported, so that a node does
+        # not load the modules of the others. A command whose module has another
+        # name is found by importing them all.
         try:
             importlib.import_module(f"{package.__name__}.{name}")
         except ModuleNotFoundError:
@@ -34,7 +36,7 @@
             sys.exit(failure.exit_code)
 
 
-@click.command(cls=Main)
+@click.command(cls=LazyGroup)
 @click.version_option(package_name="rattanridge")
 def main() -> None:
-    """Distributes configuration of a service mesh and carries its calls."""
+    """Distribute the configuration of a service mesh and carry its calls."""
--- a/rattanridge/cli/measure.py
+++ b/rattanridge/cli/measure.py
@@ -1,7 +1,7 @@
-"""Command that runs measurements.
+"""Command ``measure``, which runs experiments and reports their results.
 
-Exit status: 0 if every target was met, 1 if one was missed, 2 for a wrong
-command, 3 if a measurement ended by an error.
+Exit status: 0 if every target was met, 1 if one was missed, 2 for invalid
+arguments, 3 if an experiment ended with an error.
 """
 
 import gc
@@ -31,22 +31,24 @@
     "--size",
     default=0,
     type=click.IntRange(min=0),
-    help="Size; 0 takes the experiment's default.",
+    help="Size of the experiment; 0 means its default.",
 )
 @click.option(
     "--seconds",
     default=0.0,
     type=click.FloatRange(min=0.0),
-    help="Seconds; 0 takes the experiment's default.",
+    help="Duration in seconds; 0 means the experiment's default.",
+)
+@click.option(
+    "--out", default="", help="Directory to write results to, if NAME is 'all'."
 )
-@click.option("--out", default="", help="Directory for results, with NAME 'all'.")
 def measure(
     name: str, as_json: bool, seed: int, size: int, seconds: float, out: str
 ) -> None:
-    """Run the experiment NAME, 'all' of them, or 'list' them.
+    """Run the experiment NAME, or 'all' of them; 'list' prints their names.
 
     The last line is the result as JSON. Exit status: 0 if every target was
-    met, 1 if one was missed, 3 if an experiment ended by an error.
+    met, 1 if one was missed, 3 if an experiment ended with an error.
     """
     registry.load_plugins(package)
     parameters = base.Parameters(seed, size, seconds)
@@ -61,21 +63,25 @@
 
 
 def list_experiments() -> None:
-    """Print each experiment with one line of explanation."""
+    """Print the name and a one-line description of each experiment."""
     names = base.EXPERIMENTS.names()
     width = max(map(len, names), default=0)
     for name in names:
-        click.echo(f"{name:<{width}}  {explain(base.EXPERIMENTS.get(name))}")
+        click.echo(f"{name:<{width}}  {describe(base.EXPERIMENTS.get(name))}")
 
 
-def explain(experiment: base.Experiment) -> str:
+def describe(experiment: base.Experiment) -> str:
     """Return the first paragraph of an experiment's docstring as one line."""
     paragraph = (inspect.getdoc(experiment) or "").partition("\n\n")[0]
     return " ".join(paragraph.split())
 
 
 def run_all(parameters: base.Parameters, as_json: bool, out: str) -> int:
-    """Run every experiment in turn; return the worst exit status."""
+    """Run every experiment in turn; return the highest exit status.
+
+    :param out: directory in which results and a table are saved after each
+        experiment; empty to save nothing.
+    """
     directory = pathlib.Path(out) if out else None
     if directory is not None:
         directory.mkdir(parents=True, exist_ok=True)
@@ -94,22 +100,22 @@
 
 
 def run_one(name: str, parameters: base.Parameters) -> results.Record:
-    """Run one experiment; an error in it becomes part of the record."""
-    experiment = find(name)
+    """Run one experiment; record an exception that it raises."""
+    experiment = find_experiment(name)
     record = results.Record(
         name, results.command_of(name, parameters), results.this_machine(), 0.0
     )
-    began = time.monotonic()
+    started = time.monotonic()
     try:
         record.result = experiment(parameters)
     except Exception as error:
         record.error = f"{type(error).__name__}: {error}"
-    record.seconds = round(time.monotonic() - began, 1)
+    record.seconds = round(time.monotonic() - started, 1)
     return record
 
 
 def show(record: results.Record, as_json: bool) -> None:
-    """Print a table for people unless only JSON is wanted, then one JSON line."""
+    """Print the result as a table, unless only JSON is wanted, then as a JSON line."""
     if record.result is None:
         click.echo(f"{record.name}: {record.outcome}", err=True)
         return
@@ -120,14 +126,14 @@
 
 
 def exit_status(record: results.Record) -> int:
-    """Return the exit status that a record stands for."""
+    """Return the exit status for a record."""
     if record.result is None:
         return FAILED_EXIT
     return 0 if record.result.ok else MISSED_EXIT
 
 
-def find(name: str) -> base.Experiment:
-    """Return an experiment; an unknown name is a coded failure."""
+def find_experiment(name: str) -> base.Experiment:
+    """Return an experiment by name; raise ``bad-field`` if there is none."""
     try:
         return base.EXPERIMENTS.get(name)
     except KeyError as error:
--- a/rattanridge/cli/node.py
+++ b/rattanridge/cli/node.py
@@ -1,4 +1,4 @@
-"""Command that runs one node."""
+"""Command ``node``, which runs one node."""
 
 import asyncio
 
@@ -10,7 +10,12 @@
 
 @main.COMMANDS.register("node")
 @click.command("node")
-@click.option("-c", "--config", "path", required=True, help="Settings file.")
+@click.option(
+    "-c", "--config", "path", required=True, help="Path of the settings file."
+)
 def run_node(path: str) -> None:
-    """Run one node until SIGTERM; a second signal ends it at once."""
+    """Run one node until SIGTERM or SIGINT; a second signal ends it at once.
+
+    SIGHUP reloads the settings.
+    """
     asyncio.run(daemon.serve(path))
--- a/rattanridge/cli/remote.py
+++ b/rattanridge/cli/remote.py
@@ -1,4 +1,4 @@
-"""Client of the administration API, for commands."""
+"""Client of the administration API for the commands."""
 
 import asyncio
 import collections.abc
@@ -13,12 +13,13 @@
 from rattanridge.admin import server
 from rattanridge.kernel import codes
 
-# Seconds; longer than a node needs to learn the outcome of a lost write.
+# Seconds; longer than a node needs to find out whether a write whose response was
+# lost took effect.
 TIMEOUT = 30.0
 
 
-class Remote:
-    """Calls one node's administration API.
+class AdminClient:
+    """Calls the administration API of one node.
 
     :param url: base URL.
     :param token: bearer token.
@@ -30,14 +31,19 @@
 
     @staticmethod
     def quote(name: str) -> str:
-        """Return a name as one part of a path."""
+        """Return a name encoded as one part of a URL path."""
         return urllib.parse.quote(name, safe="")
 
     def call(self, method: str, path: str, body: bytes = b"") -> typing.Any:
-        """Make one call; return the decoded answer or raise its coded failure."""
+        """Make one call; return the decoded response.
+
+        Raises the coded failure that the node answers with, or ``admin-unreachable``
+        if it does not answer.
+        """
         return asyncio.run(self.request(method, path, body))
 
     async def request(self, method: str, path: str, body: bytes) -> typing.Any:
+        """Make one call; see ``call``."""
         headers = {"Authorization": f"Bearer {self.token}"}
         timeout = aiohttp.ClientTimeout(total=TIMEOUT)
         try:
@@ -48,19 +54,23 @@
                     data = await response.read()
                     status = response.status
         except (TimeoutError, aiohttp.ClientError, OSError, ValueError) as error:
-            detail = f"{self.url}: {type(error).__name__}"
+            detail = f"the request to {self.url} failed: {type(error).__name__}"
             raise codes.Failure(codes.ADMIN_UNREACHABLE, detail)
         if status != 200:
-            raise as_failure(data)
+            raise decode_failure(data)
         try:
             return msgspec.json.decode(data)
         except msgspec.MsgspecError:
-            detail = f"{self.url}: the answer is not that of a node"
+            detail = f"the response from {self.url} is not JSON"
             raise codes.Failure(codes.ADMIN_UNREACHABLE, detail)
 
 
-def as_failure(data: bytes) -> codes.Failure:
-    """Return the failure that a refused call tells."""
+def decode_failure(data: bytes) -> codes.Failure:
+    """Decode the body of a refused call into a failure.
+
+    A body that is not a coded error becomes ``admin-bad-request`` with its first 200
+    bytes as detail.
+    """
     try:
         error = msgspec.json.decode(data, type=server.Error)
     except msgspec.MsgspecError:
@@ -72,23 +82,26 @@
 
 
 def options(command: collections.abc.Callable) -> collections.abc.Callable:
-    """Add the options that tell which node to call, and pass a ``Remote``."""
+    """Add the options ``--admin`` and ``--token`` to a command.
+
+    The command gets an ``AdminClient`` for them as its parameter ``client``.
+    """
 
     @click.option(
         "--admin",
         envvar="RATTANRIDGE_ADMIN",
         default="http://127.0.0.1:7404",
         show_default=True,
-        help="Administration URL of a node; or set RATTANRIDGE_ADMIN.",
+        help="URL of a node's administration API; or set RATTANRIDGE_ADMIN.",
     )
     @click.option(
         "--token",
         envvar="RATTANRIDGE_TOKEN",
         required=True,
-        help="Bearer token; or set RATTANRIDGE_TOKEN.",
+        help="Bearer token for the API; or set RATTANRIDGE_TOKEN.",
     )
     @functools.wraps(command)
     def wrapper(*args: object, admin: str, token: str, **more: object) -> object:
-        return command(*args, remote=Remote(admin, token), **more)
+        return command(*args, client=AdminClient(admin, token), **more)
 
     return wrapper
--- a/rattanridge/cli/soak.py
+++ b/rattanridge/cli/soak.py
@@ -1,4 +1,4 @@
-"""Command that runs the fault soak."""
+"""Command ``soak``, which runs the system under random faults."""
 
 import asyncio
 import pathlib
@@ -15,17 +15,27 @@
 
 @main.COMMANDS.register("soak")
 @click.command()
-@click.option("--seed", default=1, show_default=True, help="First seed.")
-@click.option("--seeds", default=1, show_default=True, help="Seeds, one after another.")
-@click.option("--minutes", default=0.25, show_default=True, help="Of trouble, a seed.")
-@click.option("--keep", default="", help="Directory for the logs of broken seeds.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the first run.")
+@click.option(
+    "--seeds",
+    default=1,
+    show_default=True,
+    help="Number of runs, one after another, each with the next seed.",
+)
+@click.option(
+    "--minutes", default=0.25, show_default=True, help="Minutes of faults in each run."
+)
+@click.option(
+    "--keep", default="", help="Directory to which the logs of failed runs are moved."
+)
 def soak(seed: int, seeds: int, minutes: float, keep: str) -> None:
-    """Run real processes under random faults and check the promises.
+    """Run real processes under random faults and check the system's guarantees.
 
-    Exit status 1 if a promise was broken; the logs of that seed are kept.
+    Exit with status 1 if a guarantee was broken in any run; the logs of such a run
+    are kept.
     """
     log.configure("error")
-    broken = 0
+    failed_runs = 0
     for number in range(seed, seed + seeds):
         directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
         run = soaks.Soak(number, minutes * 60, directory)
@@ -39,15 +49,18 @@
         if not outcome.broken:
             shutil.rmtree(directory)
             continue
-        broken += 1
+        failed_runs += 1
         for text in outcome.broken:
             click.echo(f"  BROKEN: {text}")
         click.echo(f"  logs: {keep_logs(directory, keep)}")
-    sys.exit(1 if broken else 0)
+    sys.exit(1 if failed_runs else 0)
 
 
 def keep_logs(directory: pathlib.Path, keep: str) -> pathlib.Path:
-    """Move a broken seed's logs to where they are kept."""
+    """Move the logs of a failed run to ``keep``; return where they are.
+
+    :param keep: directory, created if missing; empty to leave the logs in place.
+    """
     if not keep:
         return directory
     pathlib.Path(keep).mkdir(parents=True, exist_ok=True)
--- a/rattanridge/cli/standin.py
+++ b/rattanridge/cli/standin.py
@@ -1,4 +1,4 @@
-"""Commands that run the stand-ins as plain processes."""
+"""Commands ``standin``, which run stand-ins of the platform and of upstreams."""
 
 import asyncio
 import collections.abc
@@ -13,54 +13,67 @@
 from rattanridge.kernel import codes, log
 from rattanridge.standin import metadata, upstream as upstreams
 
-CRASH_EXIT = 70  # exit status of an upstream that a request crashed
+CRASH_EXIT = 70  # exit status of an upstream stand-in that a request crashed
 
 T = typing.TypeVar("T")
 
-Work = collections.abc.Callable[[], collections.abc.Awaitable[object]]
+AsyncCallback = collections.abc.Callable[[], collections.abc.Awaitable[object]]
 
 fault_option = click.option(
     "--fault",
     "faults",
     multiple=True,
     metavar="NAME=VALUE",
-    help="Fault in force from the start; may be given more than once.",
+    help="Fault that is active from the start; may be given more than once.",
 )
 
 
 @main.COMMANDS.register("standin")
 @click.group()
 def standin() -> None:
-    """Run a stand-in for the platform or for an upstream."""
+    """Run a stand-in of the platform or of an upstream."""
 
 
 @standin.command()
 @click.option("--address", default="127.0.0.1:7400", show_default=True)
 @fault_option
 def platform(address: str, faults: tuple[str, ...]) -> None:
-    """Run a stand-in of the platform's store; PUT /faults sets its faults."""
+    """Run a stand-in of the platform's store.
+
+    PUT /faults replaces its faults.
+    """
     log.configure()
-    served = metadata.Metadata()
-    served.faults = parse_faults(faults, metadata.Faults)
+    store = metadata.Metadata()
+    store.faults = parse_faults(faults, metadata.Faults)
 
     async def start() -> None:
-        await served.start(address)
-        click.echo(f"platform on {served.address}")
+        await store.start(address)
+        click.echo(f"platform on {store.address}")
 
-    asyncio.run(run_until_signal(start, served.stop))
+    asyncio.run(run_until_signal(start, store.stop))
 
 
 @standin.command()
 @click.option("--service", required=True)
 @click.option("--version", "version", default="v1", show_default=True)
-@click.option("--node", default="", help="HOST:PORT of its node for heartbeats.")
-@click.option("--address", default="127.0.0.1:0", help="Port 0 takes a free one.")
+@click.option("--node", default="", help="HOST:PORT of its node's heartbeat port.")
+@click.option(
+    "--address", default="127.0.0.1:0", help="HOST:PORT; port 0 means any free port."
+)
 @click.option("--slots", default=12, show_default=True)
-@click.option("--work", default=0.005, show_default=True, help="Seconds a request.")
-@click.option("--cold-start", default=0.0, help="Seconds of extra work at first.")
+@click.option(
+    "--work", default=0.005, show_default=True, help="Mean seconds per request."
+)
+@click.option(
+    "--cold-start",
+    default=0.0,
+    help="Seconds after the start in which requests take twice as long.",
+)
 @click.option("--seed", default=0, show_default=True)
-@click.option("--tell", default="", help="HOST:PORT to report, if it is another one.")
-@click.option("--journal", default="", help="File to which each run is written.")
+@click.option("--tell", default="", help="HOST:PORT to report instead of --address.")
+@click.option(
+    "--journal", default="", help="File to which each request that runs is written."
+)
 @fault_option
 def upstream(
     service: str,
@@ -75,27 +88,27 @@
     journal: str,
     faults: tuple[str, ...],
 ) -> None:
-    """Run an upstream stand-in that reports itself to the node beside it.
+    """Run a stand-in of an upstream that sends heartbeats to its node.
 
-    SIGTERM drains it. PUT /-/faults sets its faults; a request that crashes it
+    SIGTERM drains it. PUT /-/faults replaces its faults. A request that crashes it
     ends the process with status 70.
     """
     log.configure()
     shape = upstreams.Shape(service, version, slots, work, cold_start)
-    served = upstreams.Upstream(shape, node, seed, journal)
-    served.told_address = tell
-    served.faults = parse_faults(faults, upstreams.Faults)
+    instance = upstreams.Upstream(shape, node, seed, journal)
+    instance.told_address = tell
+    instance.faults = parse_faults(faults, upstreams.Faults)
 
     async def start() -> None:
-        await served.start(address)
-        click.echo(f"upstream {service} {version} on {served.address}")
+        await instance.start(address)
+        click.echo(f"upstream {service} {version} on {instance.address}")
 
-    asyncio.run(run_until_signal(start, served.leave, served.crashed))
-    sys.exit(CRASH_EXIT if served.crashed.is_set() else 0)
+    asyncio.run(run_until_signal(start, instance.leave, instance.crashed))
+    sys.exit(CRASH_EXIT if instance.crashed.is_set() else 0)
 
 
 def parse_faults(texts: collections.abc.Iterable[str], kind: type[T]) -> T:
-    """Turn ``name=value`` texts into faults; a wrong one is a coded failure."""
+    """Parse faults given as ``name=value``; raise ``bad-field`` for an invalid one."""
     values = dict(text.partition("=")[::2] for text in texts)
     try:
         return msgspec.convert(values, kind, strict=False)
@@ -104,9 +117,12 @@
 
 
 async def run_until_signal(
-    start: Work, stop: Work, crashed: asyncio.Event | None = None
+    start: AsyncCallback, stop: AsyncCallback, crashed: asyncio.Event | None = None
 ) -> None:
-    """Run a server until SIGTERM or SIGINT, then stop it as planned."""
+    """Run a server until SIGTERM or SIGINT, then stop it gracefully.
+
+    :param crashed: set when the server has crashed; it is then not stopped.
+    """
     ended = crashed or asyncio.Event()
     signalled = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/rattanridge/cli/status.py
+++ b/rattanridge/cli/status.py
@@ -1,4 +1,4 @@
-"""Command that shows the system's state."""
+"""Command ``status``, which shows the state of the system."""
 
 import collections
 import json
@@ -8,16 +8,16 @@
 
 from rattanridge.cli import main, remote
 
-SHOWN = 10  # nodes that are named
+MAX_NODES_SHOWN = 10  # lagging nodes that are listed by name
 
 
 @main.COMMANDS.register("status")
 @click.command()
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @remote.options
-def status(as_json: bool, remote: remote.Remote) -> None:
+def status(as_json: bool, client: remote.AdminClient) -> None:
     """Show the configuration in force, nodes, endpoints and rollouts."""
-    report = remote.call("GET", "/status")
+    report = client.call("GET", "/status")
     if as_json:
         click.echo(json.dumps(report))
         return
@@ -26,7 +26,7 @@
 
 
 def format_refused(refused: dict[str, str]) -> list[str]:
-    """Return a line for each reason, with the number of nodes that tell it."""
+    """Return a line for each reason, with the number of nodes that report it."""
     counts = collections.Counter(refused.values())
     return [
         f"refused    by {count} nodes: {reason}"
@@ -35,7 +35,7 @@
 
 
 def format_report(report: dict[str, typing.Any]) -> list[str]:
-    """Return a status report as lines for people."""
+    """Return a status report as lines of text."""
     lines = [
         f"platform   {report['platform']}",
         (
@@ -51,13 +51,15 @@
     for generation, count in applied:
         lines.append(f"nodes      {count} of {total} apply generation {generation}")
     lines += format_refused(report["refused"])
-    for item in report["behind"][:SHOWN]:
+    for item in report["behind"][:MAX_NODES_SHOWN]:
         lines.append(
             f"behind     {item['node']} at generation {item['generation']}: "
             f"{item['code'] or '-'} {item['reason']}"
         )
-    if len(report["behind"]) > SHOWN:
-        lines.append(f"behind     and {len(report['behind']) - SHOWN} more nodes")
+    if len(report["behind"]) > MAX_NODES_SHOWN:
+        lines.append(
+            f"behind     and {len(report['behind']) - MAX_NODES_SHOWN} more nodes"
+        )
     for endpoint, count in sorted(report["endpoints"].items()):
         lines.append(f"endpoints  {count} {endpoint}")
     for item in report["rollouts"]:
--- a/rattanridge/daemon.py
+++ b/rattanridge/daemon.py
@@ -7,46 +7,47 @@
 import sys
 
 if __name__ == "__main__":
-    # A reload may be asked for while the modules below load, and would end the
-    # process. The settings are read after that anyway.
+    # By default SIGHUP ends a process, and a reload may be requested while the
+    # modules below are still loading. Ignoring it loses nothing, because the
+    # settings are read afterwards.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from rattanridge.kernel import codes, sink as sinks
 from rattanridge.mesh import node as nodes, settings
 
 SETTINGS_VARIABLE = "RATTANRIDGE_BOOT"
-KILLED_EXIT = 1  # exit status after a second signal to stop
+FORCED_EXIT = 1  # exit status after a second stop signal
 
 
-class Signals:
-    """Counts signals: the first one asks to stop, the second ends at once.
+class StopSignals:
+    """Handles stop signals: the first requests a stop, the second exits at once.
 
-    :param end: ends the process with an exit status.
+    :param end: function that exits the process with the given status.
     """
 
     def __init__(self, end: collections.abc.Callable[[int], object] = os._exit):
         self.stopping = asyncio.Event()
         self.end = end
 
-    def take(self) -> None:
-        """Take one signal."""
+    def handle(self) -> None:
+        """Handle one stop signal."""
         if self.stopping.is_set():
-            self.end(KILLED_EXIT)
+            self.end(FORCED_EXIT)
         self.stopping.set()
 
 
 async def serve(path: str) -> None:
-    """Run a node until SIGTERM; SIGHUP reads the settings again.
+    """Run a node until SIGTERM or SIGINT; SIGHUP reloads the settings.
 
-    :param path: the settings file.
+    :param path: path of the settings file.
     """
     file = settings.SettingsFile(path)
     config = settings.load(path)
     node = nodes.Node(config, file, sinks.configure())
-    signals = Signals()
+    signals = StopSignals()
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, signals.take)
-    loop.add_signal_handler(signal.SIGINT, signals.take)
+    loop.add_signal_handler(signal.SIGTERM, signals.handle)
+    loop.add_signal_handler(signal.SIGINT, signals.handle)
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     try:
         await start(node)
@@ -58,19 +59,22 @@
 
 
 async def start(node: nodes.Node) -> None:
-    """Start a node, with the administration API if the settings ask for it."""
+    """Start a node, and its administration API if the settings give an address."""
     await node.start()
     if not node.config.listen.admin:
         return
-    # A node without it must not pay for its modules.
+    # Imported here, so that a node without the API does not load its modules.
     from rattanridge.admin import server
 
-    served = server.Server(node)
-    await node.listen(served.serve, node.config.listen.admin)
+    admin_server = server.Server(node)
+    await node.listen(admin_server.serve, node.config.listen.admin)
 
 
 def main() -> None:
-    """Run the program."""
+    """Run a node with the settings file that ``RATTANRIDGE_BOOT`` names.
+
+    A coded failure is printed to standard error and sets the exit status.
+    """
     try:
         asyncio.run(serve(os.environ.get(SETTINGS_VARIABLE, "")))
     except codes.Failure as failure:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""What several tests share: a fleet that outlives one test, and raw HTTP."""
+"""Helpers of several test modules: a fleet kept over many tests, and raw HTTP."""
 
 import asyncio
 import contextlib
@@ -6,11 +6,11 @@
 from rattanridge.admin import server
 from rattanridge.standin import fleet, upstream as upstreams
 
-ANSWER_LIMIT = 20.0  # seconds after which a port counts as hanging
+RESPONSE_TIMEOUT = 20.0  # seconds after which a port counts as hanging
 
 
 class Bench:
-    """A fleet of one host with the service ``workshop``, on a loop of its own.
+    """A fleet of one host with the service ``workshop``, on its own event loop.
 
     :param runner: runs coroutines on the fleet's loop, one at a time.
     """
@@ -37,7 +37,7 @@
 
 @contextlib.contextmanager
 def running():
-    """Give a bench that runs, and stop it at the end."""
+    """Start a bench and yield it; stop it at the end."""
     with asyncio.Runner() as runner:
         bench = Bench(runner)
         runner.run(bench.start())
@@ -47,17 +47,20 @@
             runner.run(bench.fleet.stop())
 
 
-async def exchange(address: str, data: bytes, end: bool = False) -> bytes:
-    """Send raw bytes to ``host:port``; return all that it answers until it closes.
+async def exchange(address: str, data: bytes, half_close: bool = False) -> bytes:
+    """Send raw bytes to ``host:port``; return the bytes received until it closes.
 
-    :param end: close the sending side, as a caller that breaks off does.
+    Returns empty bytes if the connection breaks.
+
+    :param half_close: whether to close the sending side after the data, as a caller
+        that breaks off does.
     """
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
-        async with asyncio.timeout(ANSWER_LIMIT):
+        async with asyncio.timeout(RESPONSE_TIMEOUT):
             writer.write(data)
-            if end:
+            if half_close:
                 writer.write_eof()
             return await reader.read()
     except ConnectionError:
@@ -66,16 +69,16 @@
         writer.close()
 
 
-def status_of(answer: bytes) -> int:
-    """Return the status of a raw answer; 0 for none."""
-    parts = answer.split(b" ", 2)
+def status_of(response: bytes) -> int:
+    """Return the HTTP status of a raw response; 0 if there is none."""
+    parts = response.split(b" ", 2)
     return int(parts[1]) if len(parts) == 3 else 0
 
 
-def header_of(answer: bytes, name: str) -> str:
-    """Return a header of a raw answer; empty if it has none."""
-    for line in answer.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]:
-        found, _, value = line.partition(b":")
-        if found.decode("latin-1").lower() == name.lower():
+def header_of(response: bytes, name: str) -> str:
+    """Return the value of a header of a raw response; empty if it is absent."""
+    for line in response.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]:
+        field, _, value = line.partition(b":")
+        if field.decode("latin-1").lower() == name.lower():
             return value.decode("latin-1").strip()
     return ""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Administration API: tokens, roles and odd requests, on real sockets."""
+"""Administration API: tokens, roles and invalid requests, on real sockets."""
 
 import contextlib
 import io
@@ -22,12 +22,12 @@
 
 @pytest.fixture(scope="module")
 def bench():
-    with benches.running() as made:
-        yield made
+    with benches.running() as running:
+        yield running
 
 
-def ask(bench, method, path, token=OLGA.secret, body=b"", address=""):
-    """Send one raw request; return status, code and body."""
+def send(bench, method, path, token=OLGA.secret, body=b"", address=""):
+    """Send one raw request; return its HTTP status and result code, or 0 for none."""
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n"
         f"Authorization: Bearer {token}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -78,10 +78,10 @@
     )
     def test_refusals(self, bench, method, path, token, code):
         code = code or codes.ADMIN_BAD_REQUEST
-        assert ask(bench, method, path, token) == (code.status, code.number)
+        assert send(bench, method, path, token) == (code.status, code.number)
 
-    def test_percent_encoded_name_is_the_name(self, bench):
-        assert ask(bench, "GET", "/presets/%64ay") == (200, 0)
+    def test_percent_encoded_name_is_decoded(self, bench):
+        assert send(bench, "GET", "/presets/%64ay") == (200, 0)
 
     @pytest.mark.parametrize(
         ("body", "code"),
@@ -94,8 +94,8 @@
             (PEAK.encode(), codes.BAD_FIELD),
         ],
     )
-    def test_bodies(self, bench, body, code):
-        answer = ask(bench, "PUT", "/presets/day", body=body)
+    def test_invalid_bodies(self, bench, body, code):
+        answer = send(bench, "PUT", "/presets/day", body=body)
         assert answer == (code.status, code.number)
 
     @hypothesis.given(
@@ -104,9 +104,9 @@
         strategies.text(strategies.characters(max_codepoint=255), max_size=20),
         strategies.binary(max_size=50),
     )
-    def test_any_request(self, bench, method, path, query, body):
+    def test_arbitrary_requests(self, bench, method, path, query, body):
         query = "".join(f"%{ord(char):02x}" for char in query)
-        status, code = ask(bench, method, f"{path}?{query}", body=body)
+        status, code = send(bench, method, f"{path}?{query}", body=body)
         assert status < 500
         assert code or (method, path) == ("GET", "/presets")
 
@@ -119,22 +119,22 @@
     )
 
     @hypothesis.given(rollout_fields)
-    def test_any_rollout(self, bench, fields):
-        good = {"old": "v1", "new": "v9", "deadline": 600.0}
-        for body in (fields, good | fields):
+    def test_arbitrary_rollouts(self, bench, fields):
+        valid = {"old": "v1", "new": "v9", "deadline": 600.0}
+        for body in (fields, valid | fields):
             raw = msgspec.json.encode(body)
-            status, code = ask(bench, "PUT", "/rollouts/workshop", body=raw)
+            status, code = send(bench, "PUT", "/rollouts/workshop", body=raw)
             assert status in (400, 409)
             assert code in codes.TABLE
 
-    def test_bounded_number_at_once(self, bench, monkeypatch):
-        monkeypatch.setattr(server, "ACTIVE_MOST", 0)
+    def test_limit_of_active_requests(self, bench, monkeypatch):
+        monkeypatch.setattr(server, "MAX_ACTIVE_REQUESTS", 0)
         code = codes.ADMIN_BUSY
-        assert ask(bench, "GET", "/status") == (code.status, code.number)
+        assert send(bench, "GET", "/status") == (code.status, code.number)
         monkeypatch.undo()
-        assert ask(bench, "GET", "/status") == (200, 0)
+        assert send(bench, "GET", "/status") == (200, 0)
 
-    def test_slow_body(self, bench, monkeypatch):
+    def test_body_that_stalls_is_refused(self, bench, monkeypatch):
         monkeypatch.setattr(bodies, "PART_SECONDS", 0.01)
         head = (
             "PUT /presets/day HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n"
@@ -148,17 +148,17 @@
     @pytest.mark.parametrize(
         "path", ["/presets", "/status", "/presets/day/use", "/counters", "/history"]
     )
-    def test_no_other_port_reaches_it(self, bench, port, path):
+    def test_other_ports_do_not_serve_it(self, bench, port, path):
         address = getattr(bench.host.node.config.listen, port)
         for method in ("GET", "POST"):
-            assert ask(bench, method, path, address=address)[0] == 404
+            assert send(bench, method, path, address=address)[0] == 404
 
 
 class TestTokensInLogs:
-    async def test_never(self, monkeypatch):
-        written = io.StringIO()
-        monkeypatch.setattr(sys, "stderr", written)
-        monkeypatch.setattr(log, "pairs", keep_lines(written, log.pairs))
+    async def test_secrets_are_never_logged(self, monkeypatch):
+        output = io.StringIO()
+        monkeypatch.setattr(sys, "stderr", output)
+        monkeypatch.setattr(log, "pairs", copy_lines(output, log.pairs))
         async with fleet.Fleet() as running:
             shape = upstreams.Shape("workshop")
             host = await running.add("one", "zone-a", shape, key="fleet-shared-key")
@@ -169,7 +169,7 @@
                     for path in ("presets/x/use", "status", f"presets?token={secret}"):
                         await self.send(session, listen.admin, path, secret)
             await running.put_preset(fleet.make_preset("day", ["workshop"]))
-        text = written.getvalue()
+        text = output.getvalue()
         assert "admin-refused" in text
         for secret in (
             OLGA.secret,
@@ -180,17 +180,19 @@
             assert secret not in text
 
     async def send(self, session, address, path, secret):
-        sent = {"Authorization": f"Bearer {secret}"}
-        async with session.post(f"http://{address}/{path}", headers=sent) as response:
+        sent_headers = {"Authorization": f"Bearer {secret}"}
+        async with session.post(
+            f"http://{address}/{path}", headers=sent_headers
+        ) as response:
             assert secret not in await response.text()
 
 
-def keep_lines(target, pairs):
-    """Return ``pairs`` that also writes each line to a target."""
+def copy_lines(target, pairs):
+    """Wrap ``log.pairs`` so that each line is also written to a target."""
 
-    def kept(event, fields):
+    def wrapped(event, fields):
         line = pairs(event, fields)
         target.write(line + "\n")
         return line
 
-    return kept
+    return wrapped
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The command that explains a request from log files."""
+"""Command ``explain``: the log lines of one request from several files."""
 
 import pytest
 from click import testing
@@ -25,7 +25,7 @@
 
 
 class TestExplain:
-    def test_lines_of_all_files_in_order_of_time(self, files):
+    def test_lines_of_all_files_are_sorted_by_time(self, files):
         result = testing.CliRunner().invoke(main.main, ["explain", "4e1c", *files])
         assert result.exit_code == 0
         events = [
@@ -38,6 +38,6 @@
         ]
         assert "5003 queue-full" in result.output
 
-    def test_a_request_without_a_line(self, files):
+    def test_unknown_request_exits_with_status_1(self, files):
         result = testing.CliRunner().invoke(main.main, ["explain", "9999", *files])
         assert result.exit_code == 1
--- a/tests/test_presets.py
+++ b/tests/test_presets.py
@@ -1,4 +1,4 @@
-"""Presets in the store: lost answers, outages, races and history."""
+"""Presets in the store: lost responses, outages, races and history."""
 
 import asyncio
 import contextlib
@@ -21,18 +21,19 @@
 
 @contextlib.asynccontextmanager
 async def presets_on():
-    """Give the presets of a stand-in of the store, and the stand-in."""
-    served = metadata.Metadata()
-    await served.start()
-    reached = stores.Store(served.address)
+    """Start a stand-in of the store; yield the presets in it, and the stand-in."""
+    standin = metadata.Metadata()
+    await standin.start()
+    client = stores.Store(standin.address)
     try:
-        yield preset_store.Presets(reached), served
+        yield preset_store.Presets(client), standin
     finally:
-        await reached.close()
-        await served.stop()
+        await client.close()
+        await standin.stop()
 
 
-async def refused(awaitable):
+async def failure_of(awaitable):
+    """Return the coded failure that an awaitable raises."""
     with pytest.raises(codes.Failure) as caught:
         await awaitable
     return caught.value
@@ -40,34 +41,34 @@
 
 class TestPut:
     async def test_same_content_is_the_same_revision(self):
-        async with presets_on() as (presets, served):
+        async with presets_on() as (presets, standin):
             first = await presets.put("day", DAY, "olga")
-            again = await presets.put("day", "# told again\n" + DAY, "oscar")
+            again = await presets.put("day", "# a comment\n" + DAY, "oscar")
             assert (first.revision, again.revision, again.operator) == (1, 1, "olga")
-            assert len(served.objects) == 1
+            assert len(standin.objects) == 1
 
-    async def test_former_content_is_a_new_revision(self):
+    async def test_earlier_content_is_a_new_revision(self):
         async with presets_on() as (presets, _):
             other = DAY.replace("5.0", "4.0")
             for text in (DAY, other, DAY):
                 last = await presets.put("day", text, "olga")
             assert last.revision == 3
 
-    async def test_race_names_the_winner(self, monkeypatch):
-        async def none_yet(name=""):
+    async def test_conflict_names_the_winner(self, monkeypatch):
+        async def no_revisions(name=""):
             return []
 
         async with presets_on() as (presets, _):
-            monkeypatch.setattr(presets, "revisions", none_yet)
+            monkeypatch.setattr(presets, "list_revisions", no_revisions)
             other = DAY.replace("5.0", "4.0")
-            both = await asyncio.gather(
+            results = await asyncio.gather(
                 presets.put("day", DAY, "olga"),
                 presets.put("day", other, "oscar"),
                 return_exceptions=True,
             )
             monkeypatch.undo()
-            won = next(item for item in both if isinstance(item, objects.Revision))
-            lost = next(item for item in both if isinstance(item, codes.Failure))
+            won = next(item for item in results if isinstance(item, objects.Revision))
+            lost = next(item for item in results if isinstance(item, codes.Failure))
             assert lost.code is codes.CONFLICT
             assert won.operator in lost.detail
             assert (await presets.show("day", 1)).operator == won.operator
@@ -82,112 +83,112 @@
             ("day", DAY + "#" * 2_000_000, codes.TOO_LARGE),
         ],
     )
-    async def test_bad_preset_leaves_nothing(self, name, text, code):
-        async with presets_on() as (presets, served):
-            assert (await refused(presets.put(name, text, "olga"))).code is code
-            assert not served.objects
+    async def test_invalid_preset_is_not_stored(self, name, text, code):
+        async with presets_on() as (presets, standin):
+            assert (await failure_of(presets.put(name, text, "olga"))).code is code
+            assert not standin.objects
 
-    async def test_foreign_objects_are_passed_over(self):
-        async with presets_on() as (presets, served):
+    async def test_foreign_objects_are_ignored(self):
+        async with presets_on() as (presets, standin):
             for name in ("day.notes", "loose"):
-                await served.put(objects.PRESETS, name, b'"keep"')
+                await standin.put(objects.PRESETS, name, b'"keep"')
             assert (await presets.put("day", DAY, "olga")).revision == 1
-            assert [item.name for item in await presets.newest()] == ["day"]
+            assert [item.name for item in await presets.list_newest()] == ["day"]
 
 
 class TestUse:
     async def test_writes_the_configuration_that_nodes_read(self):
-        async with presets_on() as (presets, served):
+        async with presets_on() as (presets, standin):
             await presets.put("day", DAY, "olga")
             chosen = await presets.use("day", "olga")
-            stored = served.objects[configs.KIND, configs.NAME]
-            found = configs.decode(bytes(stored.spec))
-            assert found.version == chosen.generation == 1
-            route = found.match("any", "/workshop/1", "POST")
+            stored = standin.objects[configs.KIND, configs.NAME]
+            configuration = configs.decode(bytes(stored.spec))
+            assert configuration.version == chosen.generation == 1
+            route = configuration.match("any", "/workshop/1", "POST")
             assert (route.idempotent, route.key.name) == (False, "Idempotency-Key")
 
-    async def test_goes_on_from_what_the_platform_s_operator_wrote(self):
-        async with presets_on() as (presets, served):
+    async def test_generation_follows_that_of_the_platform_operator(self):
+        async with presets_on() as (presets, standin):
             data = b'{"Version":"0000001f","VirtualHosts":[],"Services":[]}'
-            await served.put(configs.KIND, configs.NAME, data)
+            await standin.put(configs.KIND, configs.NAME, data)
             await presets.put("day", DAY, "olga")
             assert (await presets.use("day", "olga")).generation == 32
-            assert (await presets.in_force(31)) is None
+            assert (await presets.get_choice(31)) is None
 
-    async def test_the_one_in_force_is_refused(self):
+    async def test_preset_in_force_is_refused(self):
         async with presets_on() as (presets, _):
             await presets.put("day", DAY, "olga")
             await presets.use("day", "olga")
-            failure = await refused(presets.use("day", "oscar"))
+            failure = await failure_of(presets.use("day", "oscar"))
             assert failure.code is codes.PRESET_IN_FORCE
             assert "olga" in failure.detail
             assert [item.generation for item in await presets.history()] == [1]
 
-    async def test_older_revision_takes_a_higher_generation(self):
+    async def test_older_revision_gets_a_higher_generation(self):
         async with presets_on() as (presets, _):
             for text in (DAY, DAY.replace("5.0", "4.0")):
                 await presets.put("day", text, "olga")
             await presets.use("day", "olga")
-            back = await presets.use("day", "olga", revision=1)
-            assert (back.generation, back.revision) == (2, 1)
+            choice = await presets.use("day", "olga", revision=1)
+            assert (choice.generation, choice.revision) == (2, 1)
 
     @pytest.mark.parametrize("revision", [0, 7])
-    async def test_missing(self, revision):
+    async def test_missing_preset(self, revision):
         async with presets_on() as (presets, _):
-            failure = await refused(presets.use("day", "olga", revision=revision))
+            failure = await failure_of(presets.use("day", "olga", revision=revision))
             assert failure.code is codes.NO_PRESET
 
-    @pytest.mark.parametrize("spoilt", [None, b'"text"', b'{"Version":"zz"}'])
-    async def test_configuration_that_was_deleted_or_spoilt(self, spoilt):
-        """Nodes would pass over a generation that is not above theirs."""
-        async with presets_on() as (presets, served):
+    @pytest.mark.parametrize("invalid", [None, b'"text"', b'{"Version":"zz"}'])
+    async def test_deleted_or_invalid_configuration(self, invalid):
+        """The generation still rises; nodes ignore one that is not above theirs."""
+        async with presets_on() as (presets, standin):
             await presets.put("day", DAY, "olga")
             await presets.put("peak", PEAK, "olga")
             await presets.use("day", "olga")
             await presets.use("peak", "olga")
-            if spoilt is None:
-                del served.objects[configs.KIND, configs.NAME]
+            if invalid is None:
+                del standin.objects[configs.KIND, configs.NAME]
             else:
-                await served.put(configs.KIND, configs.NAME, spoilt)
+                await standin.put(configs.KIND, configs.NAME, invalid)
             assert (await presets.use("day", "olga")).generation == 3
 
-    async def test_expected_generation_that_is_old(self):
+    async def test_outdated_expected_generation(self):
         async with presets_on() as (presets, _):
             await presets.put("day", DAY, "olga")
             await presets.put("peak", PEAK, "olga")
             await presets.use("day", "olga", 0)
             await presets.use("peak", "olga", 1)
-            failure = await refused(presets.use("day", "oscar", 1))
+            failure = await failure_of(presets.use("day", "oscar", 1))
             assert failure.code is codes.CONFLICT
             assert "olga" in failure.detail
 
-    async def test_race_has_one_winner_whom_the_other_learns(self):
+    async def test_conflict_of_two_choices_names_the_winner(self):
         async with presets_on() as (presets, _):
             await presets.put("day", DAY, "olga")
             await presets.put("peak", PEAK, "olga")
-            both = await asyncio.gather(
+            results = await asyncio.gather(
                 presets.use("day", "olga", 0),
                 presets.use("peak", "oscar", 0),
                 return_exceptions=True,
             )
-            won = next(item for item in both if isinstance(item, objects.Choice))
-            lost = next(item for item in both if isinstance(item, codes.Failure))
+            won = next(item for item in results if isinstance(item, objects.Choice))
+            lost = next(item for item in results if isinstance(item, codes.Failure))
             assert lost.code is codes.CONFLICT
             assert won.operator in lost.detail
             assert [item.operator for item in await presets.history()] == [won.operator]
 
-    async def test_a_choice_that_lost_to_the_platform_leaves_no_trace(self):
-        async with presets_on() as (presets, served):
+    async def test_choice_overtaken_by_the_platform_is_withdrawn(self):
+        async with presets_on() as (presets, standin):
             await presets.put("day", DAY, "olga")
             reserve = presets.reserve
 
-            async def overtaken(chosen):
-                await reserve(chosen)
+            async def reserve_then_overtake(choice):
+                await reserve(choice)
                 data = b'{"Version":"0000000f","VirtualHosts":[],"Services":[]}'
-                await served.put(configs.KIND, configs.NAME, data)
+                await standin.put(configs.KIND, configs.NAME, data)
 
-            presets.reserve = overtaken
-            assert (await refused(presets.use("day", "olga"))).code is codes.CONFLICT
+            presets.reserve = reserve_then_overtake
+            assert (await failure_of(presets.use("day", "olga"))).code is codes.CONFLICT
             assert not await presets.history()
 
     @hypothesis.given(
@@ -201,62 +202,62 @@
         )
     )
     @hypothesis.settings(max_examples=25)
-    def test_history_tells_every_success_once(self, choices):
+    def test_history_has_every_success_once(self, choices):
         async def run():
             async with presets_on() as (presets, _):
                 await presets.put("day", DAY, "olga")
                 await presets.put("peak", PEAK, "olga")
-                ends = await asyncio.gather(
-                    *(presets.use(name, who) for who, name in choices),
+                results = await asyncio.gather(
+                    *(presets.use(name, operator) for operator, name in choices),
                     return_exceptions=True,
                 )
-                done = [item for item in ends if isinstance(item, objects.Choice)]
-                done.sort(key=lambda item: item.generation)
-                assert await presets.history() == done
-                assert [item.generation for item in done] == [
-                    number + 1 for number in range(len(done))
+                made = [item for item in results if isinstance(item, objects.Choice)]
+                made.sort(key=lambda item: item.generation)
+                assert await presets.history() == made
+                assert [item.generation for item in made] == [
+                    number + 1 for number in range(len(made))
                 ]
 
         asyncio.run(run())
 
 
-class TestLostAnswers:
-    """The store takes writes but their answers are lost."""
+class TestLostResponses:
+    """The store carries out writes, but their responses are lost."""
 
-    async def test_no_false_failure_and_nothing_twice(self, monkeypatch):
-        monkeypatch.setattr(store_writes, "PAUSE", 0.01)
-        async with presets_on() as (presets, served):
-            served.faults.lost = True
+    async def test_writes_succeed_and_take_effect_once(self, monkeypatch):
+        monkeypatch.setattr(store_writes, "INITIAL_BACKOFF", 0.01)
+        async with presets_on() as (presets, standin):
+            standin.faults.lost = True
             for number in range(3):
                 text = DAY.replace("5.0", f"{number + 1}.0")
                 assert (await presets.put("day", text, "olga")).revision == number + 1
                 assert (await presets.use("day", "olga")).generation == number + 1
-            served.faults.lost = False
+            standin.faults.lost = False
             assert [item.revision for item in await presets.history()] == [1, 2, 3]
 
 
 class TestOutage:
-    async def test_refused_and_nothing_queues(self, monkeypatch):
-        monkeypatch.setattr(store_writes, "PAUSE", 0.01)
-        async with presets_on() as (presets, served):
+    async def test_writes_are_refused_and_not_queued(self, monkeypatch):
+        monkeypatch.setattr(store_writes, "INITIAL_BACKOFF", 0.01)
+        async with presets_on() as (presets, standin):
             await presets.put("day", DAY, "olga")
-            before = dict(served.objects)
-            served.faults.down = True
-            ends = await asyncio.gather(
+            before = dict(standin.objects)
+            standin.faults.down = True
+            results = await asyncio.gather(
                 presets.put("peak", PEAK, "olga"),
                 presets.use("day", "olga"),
                 return_exceptions=True,
             )
-            assert {item.code for item in ends} == {codes.PLATFORM_BUSY}
-            served.faults.down = False
-            assert served.objects == before
+            assert {item.code for item in results} == {codes.PLATFORM_BUSY}
+            standin.faults.down = False
+            assert standin.objects == before
 
-    async def test_unreadable_answers(self, monkeypatch):
+    async def test_unreadable_responses(self, monkeypatch):
         async with presets_on() as (presets, _):
 
-            async def garbage(*args, **more):
+            async def unreadable(*args, **kwargs):
                 return b"[" * 100_000
 
-            monkeypatch.setattr(presets.store, "call", garbage)
-            failure = await refused(presets.use("day", "olga"))
+            monkeypatch.setattr(presets.store, "call", unreadable)
+            failure = await failure_of(presets.use("day", "olga"))
             assert failure.code is codes.PLATFORM_REFUSED
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The steps of the README with real processes, as an operator runs them."""
+"""The steps of the README, run by real processes as an operator starts them."""
 
 import os
 import pathlib
@@ -16,15 +16,15 @@
 from rattanridge.web import headers
 
 ROOT = pathlib.Path(__file__).parent.parent
-LIMIT = 60.0  # seconds after which something counts as never happening
-POLL = 0.05  # seconds
-# Ports of the example's settings: store, node, upstream, metrics.
+TIMEOUT = 60.0  # seconds after which a command or condition counts as hanging
+POLL_INTERVAL = 0.05  # seconds
+# Ports in the settings of the example: store, node, upstream and metrics.
 EXAMPLE_PORTS = ("7400", "7401", "7402", "7403", "7404", "7405", "7406", "9464")
 TOKEN = "change-this-operator-token"
 
 
 def free_ports(count):
-    """Return ports that nothing listens on just now."""
+    """Return TCP ports of the loopback address that are free at the moment."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(("127.0.0.1", 0))
@@ -37,7 +37,7 @@
 class System:
     """Processes of one store, one node and its upstream.
 
-    :param directory: where the settings file and the logs are written.
+    :param directory: directory to which settings and logs are written.
     """
 
     def __init__(self, directory):
@@ -52,11 +52,11 @@
         }
 
     def address(self, port):
-        """Return the address that stands for one of the example's."""
+        """Return this system's address for a port of the example."""
         return f"127.0.0.1:{self.ports[port]}"
 
     def write_settings(self):
-        """Write the example's settings with this system's ports."""
+        """Write the example's settings with this system's ports; return the path."""
         text = (ROOT / "examples/node.yaml").read_text()
         for port, own in self.ports.items():
             text = text.replace(f":{port}\n", f":{own}\n")
@@ -65,6 +65,7 @@
         return str(path)
 
     def start(self, name, *arguments):
+        """Start a command as a process; its output goes to ``name.log``."""
         log = (self.directory / f"{name}.log").open("wb")
         self.started[name] = subprocess.Popen(
             [sys.executable, "-m", "rattanridge", *arguments],
@@ -85,21 +86,21 @@
         )  # fmt: skip
 
     def run(self, *arguments):
-        """Run one command; return its exit status and output."""
-        ended = subprocess.run(
+        """Run one command; return its exit status, and its output with the errors."""
+        completed = subprocess.run(
             [sys.executable, "-m", "rattanridge", *arguments],
             env=self.environment,
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=TIMEOUT,
         )
-        return ended.returncode, ended.stdout + ended.stderr
+        return completed.returncode, completed.stdout + completed.stderr
 
     def status(self, url, data=None):
-        """Return status and headers of one request; ``None`` without an answer."""
+        """Send a request; return status and headers, or None without a response."""
         request = urllib.request.Request(url, data)
         try:
-            with urllib.request.urlopen(request, timeout=LIMIT) as response:
+            with urllib.request.urlopen(request, timeout=TIMEOUT) as response:
                 return response.status, response.headers
         except urllib.error.HTTPError as error:
             return error.code, error.headers
@@ -107,22 +108,22 @@
             return None
 
     def wait(self, what, condition):
-        """Look again and again until something holds; fail with all logs."""
-        end = time.monotonic() + LIMIT
+        """Poll until a condition holds; fail with all logs after ``TIMEOUT``."""
+        end = time.monotonic() + TIMEOUT
         while not condition():
             if time.monotonic() > end:
-                pytest.fail(f"{what}: never\n{self.logs()}")
-            time.sleep(POLL)
+                pytest.fail(f"{what}: not within {TIMEOUT} s\n{self.logs()}")
+            time.sleep(POLL_INTERVAL)
 
     def logs(self):
         paths = sorted(self.directory.glob("*.log"))
         return "\n".join(f"== {path.name}\n{path.read_text()}" for path in paths)
 
     def end(self, name):
-        """Send SIGTERM; return the exit status."""
+        """Send SIGTERM to a process; return its exit status."""
         process = self.started[name]
         process.send_signal(signal.SIGTERM)
-        return process.wait(LIMIT)
+        return process.wait(TIMEOUT)
 
     def kill_all(self):
         for process in self.started.values():
@@ -133,16 +134,16 @@
 
 @pytest.fixture
 def system(tmp_path):
-    made = System(tmp_path)
+    running = System(tmp_path)
     try:
-        yield made
+        yield running
     finally:
-        made.kill_all()
+        running.kill_all()
 
 
 class TestEarlyReload:
-    def test_a_reload_during_the_start_does_not_end_a_node(self):
-        """Sent before any module of the node is loaded, once Python itself runs."""
+    def test_reload_during_the_start_does_not_end_the_node(self):
+        """SIGHUP arrives before any module of the node is loaded."""
         source = """
 import os, runpy, signal, sys
 
@@ -155,17 +156,17 @@
 sys.meta_path.insert(0, Finder())
 runpy.run_module("rattanridge.daemon", run_name="__main__")
 """
-        found = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", source],
             env=os.environ | {"PYTHONPATH": str(ROOT), "RATTANRIDGE_BOOT": "/nowhere"},
             capture_output=True,
             text=True,
-            timeout=LIMIT,
+            timeout=TIMEOUT,
             check=False,
         )
-        assert "reloaded" in found.stdout
-        assert found.returncode > 0, "ended by the signal"
-        assert "/nowhere" in found.stderr
+        assert "reloaded" in completed.stdout
+        assert completed.returncode > 0, "the process was ended by the signal"
+        assert "/nowhere" in completed.stderr
 
 
 class TestReadme:
@@ -184,8 +185,8 @@
         assert status == 0, output
         assert output.startswith("generation 1: preset ordinary revision 1\n")
 
-        self.see_calls(system, callers)
-        self.see_operator_commands(system)
+        self.check_calls(system, callers)
+        self.check_operator_commands(system)
 
         assert system.end("upstream") == 0, system.logs()
         assert system.end("node") == 0, system.logs()
@@ -194,20 +195,20 @@
         assert TOKEN not in log
         assert all(line.startswith("time=") for line in log.splitlines()), log
 
-    def see_calls(self, system, callers):
-        """A consultation and a commission are answered; an unknown path is not."""
+    def check_calls(self, system, callers):
+        """Check that a GET and a POST are answered, and an unknown path refused."""
         read = f"{callers}/workshop/ring-7"
         system.wait("an endpoint", lambda: system.status(read)[0] == 200)
-        status, found = system.status(f"{callers}/workshop/rings", b"gold")
+        status, response_headers = system.status(f"{callers}/workshop/rings", b"gold")
         assert status == 200
-        assert found[headers.RAN] == codes.Execution.RAN
-        status, found = system.status(f"{callers}/elsewhere")
+        assert response_headers[headers.RAN] == codes.Execution.RAN
+        status, response_headers = system.status(f"{callers}/elsewhere")
         assert status == 404
-        assert found[headers.CODE] == str(codes.NO_ROUTE.number)
-        assert found[headers.RAN] == codes.Execution.NOT_RUN
+        assert response_headers[headers.CODE] == str(codes.NO_ROUTE.number)
+        assert response_headers[headers.RAN] == codes.Execution.NOT_RUN
 
-    def see_operator_commands(self, system):
-        """What operators read, and the exit status of refusals."""
+    def check_operator_commands(self, system):
+        """Check the output of operator commands and the exit status of refusals."""
         status, output = system.run("status")
         assert status == 0
         assert "preset ordinary revision 1" in output
@@ -232,9 +233,9 @@
         system.wait("its port", lambda: " on 127.0.0.1:" in log.read_text())
         address = log.read_text().split(" on ")[1].split()[0]
         assert system.status(f"http://{address}/a", b"gold") is None
-        assert system.started["upstream"].wait(LIMIT) == 70
+        assert system.started["upstream"].wait(TIMEOUT) == 70
 
-    def test_node_without_a_platform_stops_as_planned(self, system):
+    def test_node_without_a_platform_stops_gracefully(self, system):
         system.start("node", "node", "-c", system.write_settings())
         ready = f"http://{system.address('7403')}"
         system.wait("the node", lambda: system.status(ready) is not None)
@@ -247,10 +248,10 @@
         assert "Traceback" not in log
 
     def test_port_in_use(self, system):
-        taken = socket.socket()
-        with taken:
-            taken.bind(("127.0.0.1", int(system.ports["7402"])))
-            taken.listen()
+        listener = socket.socket()
+        with listener:
+            listener.bind(("127.0.0.1", int(system.ports["7402"])))
+            listener.listen()
             for arguments in (
                 ("node", "-c", system.write_settings()),
                 ("standin", "platform", "--address", system.address("7402")),
@@ -275,12 +276,12 @@
             ("rollout", "start", "a", "--to", "2", "--deadline", "x"),
         ],
     )
-    def test_odd_arguments(self, system, arguments):
+    def test_invalid_arguments(self, system, arguments):
         status, output = system.run(*arguments)
         assert status in (1, 2)
         assert "Traceback" not in output
 
-    def test_wrong_settings_end_with_status_2(self, system, tmp_path):
+    def test_invalid_settings_end_with_status_2(self, system, tmp_path):
         path = tmp_path / "node.yaml"
         path.write_text("name: one\n")
         status, output = system.run("node", "-c", str(path))
