--- a/rattanridge/policies/__init__.py
+++ b/rattanridge/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Policies: plug-ins that register themselves by decorators."""
+"""Policies: decisions that need no network; plug-ins register by decorators."""
--- a/rattanridge/policies/budget_nodes.py
+++ b/rattanridge/policies/budget_nodes.py
@@ -1,52 +1,53 @@
-"""Among how many nodes one node divides what all of them share. Needs no network.
+"""Counts the nodes that divide a shared allowance. Needs no network.
 
-Nodes do not talk about it; each goes by the names that the store tells. The parts of
-all nodes that spend within one span never exceed the whole: a node takes a part only
-when every other one must know of it, and counts those that left for as long as what
-they spent still counts.
+The nodes do not coordinate the division; each one counts the node names that the
+store reports. Together, the nodes never spend more than the allowance within one
+span: a node takes a share only once every other node must have seen its name, and it
+counts departed nodes for as long as their spending still counts.
 
-Answers this load: nodes that start, end and start again while the store can't be asked
-by some of them, or by any.
+This holds when nodes start, stop and restart while some or all of them cannot reach
+the store.
 """
 
 import collections.abc
 
-FRESH = 10.0  # seconds since the store was heard after which a node takes no part
-STALE = 8.0  # seconds that what the store tells may be behind
+# Seconds without contact to the store after which a node takes no share.
+MAX_CONTACT_AGE = 10.0
+MAX_STALENESS = 8.0  # seconds by which the names from the store may be out of date
 
 
 class BudgetNodes:
-    """The nodes among which one node divides.
+    """The nodes among which one node divides the allowance.
 
-    All times are seconds of one clock that does not stand still while the host is
+    All times are in seconds of a single clock that keeps running while the host is
     suspended.
 
     :param name: the node's own name.
-    :param span: seconds within which what two nodes spend counts together.
+    :param span: seconds within which the spending of two nodes counts together.
     """
 
     def __init__(self, name: str, span: float):
         self.name = name
         self.set_span(span)
         self.present: set[str] = set()
-        self.left: dict[str, float] = {}
-        self.heard_at = float("-inf")
+        self.departed: dict[str, float] = {}
+        self.last_contact_at = float("-inf")
         self.listed_since = float("inf")
 
     def set_span(self, span: float) -> None:
-        """Take over another span."""
-        self.retention = span + FRESH + STALE
+        """Set the span, and derive how long departed nodes are counted."""
+        self.retention = span + MAX_CONTACT_AGE + MAX_STALENESS
 
     def record_contact(self, now: float) -> None:
-        """The store answered; what is known was true a short time ago."""
-        self.heard_at = now
+        """Record that the store answered, so the known names are recent."""
+        self.last_contact_at = now
 
     def apply_names(self, names: collections.abc.Collection[str], now: float) -> None:
-        """Take over the names of all nodes, as the store tells them."""
+        """Apply the names of all nodes, as reported by the store."""
         self.record_contact(now)
         present = set(names)
         for name in self.present - present:
-            self.left[name] = now
+            self.departed[name] = now
         if self.name not in present:
             self.listed_since = float("inf")
         elif self.name not in self.present:
@@ -54,10 +55,15 @@
         self.present = present
 
     def count(self, now: float) -> int:
-        """Return among how many nodes to divide; 0 if this one takes no part."""
-        if now - self.heard_at > FRESH or now - self.listed_since <= self.retention:
+        """Return the number of nodes to divide by; 0 if this node takes no share."""
+        if (
+            now - self.last_contact_at > MAX_CONTACT_AGE
+            or now - self.listed_since <= self.retention
+        ):
             return 0
-        gone = [name for name, at in self.left.items() if now - at > self.retention]
-        for name in gone:
-            del self.left[name]
-        return len(self.present | self.left.keys())
+        expired = [
+            name for name, at in self.departed.items() if now - at > self.retention
+        ]
+        for name in expired:
+            del self.departed[name]
+        return len(self.present | self.departed.keys())
--- a/rattanridge/policies/idle_timeout.py
+++ b/rattanridge/policies/idle_timeout.py
@@ -1,46 +1,54 @@
-"""How long a kept connection may rest before it is used again. Needs no network.
+"""Decides how long an idle connection may be reused. Needs no network.
 
-Answers this load: an upstream that forgets connections which rest, without
-notice and sooner than it says. What is sent next on one is lost, and work that
-must not repeat with it. Whether an upstream does so shows only by a loss.
+Handles an upstream that drops idle connections silently, and sooner than it
+announces. A request sent on such a connection is lost, which matters most if it must
+not be repeated. The behaviour can only be detected by losing a request.
 """
 
-BROKEN_WITHIN = 0.03  # seconds after a write in which a forgotten connection breaks
-LEAST_REST = 0.1  # seconds; what breaks after less was not forgotten
-SHARE = 0.7  # of the rest after which one broke: what is used again
-CAREFUL_SHARE = 0.4  # the same, for work that must not repeat
-MEMORY = 30.0  # seconds for which a loss counts
+# Seconds from a write within which a connection that the upstream had dropped breaks.
+DROP_DETECTION_TIME = 0.03
+MIN_IDLE_TIME = 0.1  # seconds; a connection idle for less was not dropped
+REUSE_SHARE = 0.7  # of the idle time after which a connection broke
+NON_IDEMPOTENT_REUSE_SHARE = 0.4  # the same, for requests that must not be repeated
+LOSS_TTL = 30.0  # seconds for which a loss is taken into account
 
 
 class IdleTimeout:
-    """What is known of one upstream's connections."""
+    """The idle timeout of one upstream, as estimated from lost requests."""
 
     def __init__(self) -> None:
-        self.broke_after = float("inf")
-        self.broke_at = float("-inf")
+        self.shortest_broken_idle = float("inf")
+        self.last_loss_at = float("-inf")
 
-    def record_break(self, rested: float, lasted: float, now: float) -> bool:
-        """Learn from a connection that broke; return whether it was forgotten.
+    def record_break(self, idle: float, lasted: float, now: float) -> bool:
+        """Record that a connection broke; return whether it had been dropped idle.
 
-        :param rested: seconds without use before the request was sent.
-        :param lasted: seconds from the request until it broke, without a byte.
+        :param idle: seconds that the connection was idle before the request.
+        :param lasted: seconds from sending the request until the connection broke,
+            without a byte of an answer.
         """
-        if rested < LEAST_REST or lasted > BROKEN_WITHIN:
+        if idle < MIN_IDLE_TIME or lasted > DROP_DETECTION_TIME:
             return False
-        known = self.broke_after if self.is_known(now) else float("inf")
-        self.broke_after = min(known, rested)
-        self.broke_at = now
+        shortest = (
+            self.shortest_broken_idle if self.has_recent_loss(now) else float("inf")
+        )
+        self.shortest_broken_idle = min(shortest, idle)
+        self.last_loss_at = now
         return True
 
-    def is_known(self, now: float) -> bool:
-        """Whether the upstream forgot a connection lately."""
-        return now - self.broke_at < MEMORY
+    def has_recent_loss(self, now: float) -> bool:
+        """Return whether the upstream dropped an idle connection recently."""
+        return now - self.last_loss_at < LOSS_TTL
 
-    def max_idle(self, careful: bool, now: float) -> float:
-        """Return the seconds after which a connection is not used again.
+    def max_idle(self, non_idempotent: bool, now: float) -> float:
+        """Return the idle seconds after which a connection must not be reused.
 
-        :param careful: whether the request must not repeat.
+        Infinity if no loss is known.
+
+        :param non_idempotent: whether the request must not be repeated.
         """
-        if not self.is_known(now):
+        if not self.has_recent_loss(now):
             return float("inf")
-        return self.broke_after * (CAREFUL_SHARE if careful else SHARE)
+        return self.shortest_broken_idle * (
+            NON_IDEMPOTENT_REUSE_SHARE if non_idempotent else REUSE_SHARE
+        )
--- a/rattanridge/policies/keys.py
+++ b/rattanridge/policies/keys.py
@@ -1,4 +1,4 @@
-"""Idempotency-key sources: where the key of a request comes from."""
+"""Sources of idempotency keys: where the key of a request is read from."""
 
 import abc
 
@@ -7,13 +7,13 @@
 
 from rattanridge.kernel import routes
 
-KEY_LENGTH_MOST = 256  # characters; a longer one counts as missing
+MAX_KEY_LENGTH = 256  # characters; a longer key counts as missing
 
 
 class Source(abc.ABC):
-    """Reads a request's key.
+    """Reads the idempotency key of a request.
 
-    :param name: the header or field that the preset names.
+    :param name: the header or JSON field that the preset names.
     """
 
     def __init__(self, name: str):
@@ -26,35 +26,38 @@
 
 @routes.KEY_SOURCES.register("header")
 class Header(Source):
-    """The value of one header."""
+    """Reads the key from one header."""
 
     def read(self, headers: multidict.CIMultiDict, body: bytes) -> str:
-        return bounded(headers.get(self.name, "").strip())
+        return drop_if_too_long(headers.get(self.name, "").strip())
 
 
 @routes.KEY_SOURCES.register("json-field")
 class JsonField(Source):
-    """A text or whole number in a JSON body; dots lead into objects."""
+    """Reads the key from a string or integer field of a JSON body.
+
+    Dots in the name separate the fields of nested objects.
+    """
 
     def read(self, headers: multidict.CIMultiDict, body: bytes) -> str:
         try:
             value = msgspec.json.decode(body)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
             return ""
-        for step in self.name.split("."):
+        for field in self.name.split("."):
             if not isinstance(value, dict):
                 return ""
-            value = value.get(step)
+            value = value.get(field)
         if isinstance(value, bool) or not isinstance(value, str | int):
             return ""
-        return bounded(str(value))
+        return drop_if_too_long(str(value))
 
 
 def read(source: routes.KeySource, headers: multidict.CIMultiDict, body: bytes) -> str:
-    """Return the key that a source finds; an empty string if there is none."""
+    """Return the key that a source reads; an empty string if there is none."""
     return routes.KEY_SOURCES.get(source.source)(source.name).read(headers, body)
 
 
-def bounded(text: str) -> str:
-    """Return a key; empty if it is too long."""
-    return text if len(text) <= KEY_LENGTH_MOST else ""
+def drop_if_too_long(key: str) -> str:
+    """Return the key; an empty string if it exceeds ``MAX_KEY_LENGTH``."""
+    return key if len(key) <= MAX_KEY_LENGTH else ""
--- a/rattanridge/policies/majority.py
+++ b/rattanridge/policies/majority.py
@@ -1,4 +1,4 @@
-"""The version that most endpoints of a service have."""
+"""Selects the version that most endpoints of a service run."""
 
 import collections
 import typing
@@ -13,10 +13,14 @@
 T = typing.TypeVar("T", bound=Versioned)
 
 
-def keep_majority_version(found: list[T]) -> list[T]:
-    """Keep the version with most endpoints: another one waits for its rollout."""
-    if not found or all(item.version == found[0].version for item in found):
-        return found
-    counts = collections.Counter(item.version for item in found)
-    major = min(counts, key=lambda version: (-counts[version], version))
-    return [item for item in found if item.version == major]
+def keep_majority_version(endpoints: list[T]) -> list[T]:
+    """Return the endpoints of the version that most endpoints run.
+
+    Other versions get no requests until their rollout starts. Of versions with
+    equally many endpoints, the first in string order is chosen.
+    """
+    if not endpoints or all(item.version == endpoints[0].version for item in endpoints):
+        return endpoints
+    counts = collections.Counter(item.version for item in endpoints)
+    majority = min(counts, key=lambda version: (-counts[version], version))
+    return [item for item in endpoints if item.version == majority]
--- a/rattanridge/policies/placement.py
+++ b/rattanridge/policies/placement.py
@@ -1,8 +1,8 @@
-"""Which endpoint of a service a request goes to. Needs no network.
+"""Chooses the endpoint of a service that a request goes to. Needs no network.
 
-Answers these loads: a zone that is hotter than its own endpoints can carry, an
-endpoint that turned slow, one that sheds part of its requests while its health
-check passes, and a host that is gone while its record is still there.
+Handles a zone with more load than its own endpoints can serve, an endpoint that has
+become slow, an endpoint that sheds part of its requests while its health check
+passes, and a host that is gone while its record is still in the store.
 """
 
 import collections.abc
@@ -12,24 +12,30 @@
 
 from rattanridge.kernel import registry
 
-REPORT_AGE = 2.0  # seconds after which a reported load says nothing any more
-FACTOR_WEIGHT = 0.2  # of one answer in an endpoint's speed factor
-FACTOR_RANGE = (0.2, 20.0)
-FACTOR_MEMORY = 3.0  # seconds after which a speed factor is half forgotten
+LOAD_REPORT_TTL = 2.0  # seconds after which a reported load is ignored
+LATENCY_RATIO_WEIGHT = 0.2  # of one answer in an endpoint's moving average
+LATENCY_RATIO_RANGE = (0.2, 20.0)
+LATENCY_RATIO_HALF_LIFE = 3.0  # seconds
 SHED_WEIGHT = 0.15  # of one answer in an endpoint's share of shed requests
-SHED_MEMORY = 1.5  # seconds after which a share of shed requests is half forgotten
-FIRST_PAUSE = 0.2  # seconds without requests after the first failure to reach it
-LONGEST_PAUSE = 2.0  # seconds
-PATIENCE = 2.0  # of the expected work: silence beyond it counts as waiting
-ZONE_PENALTY = 0.2  # of the target latency: what another zone must be better by
-SHED_PENALTY = 2.0  # of the target latency: for an endpoint that sheds everything
-JITTER = 0.1  # of the target latency: spreads entries that know the same
-DEFAULT_PROCESSING_TIME = 0.1  # seconds, before a route's own time is known
+SHED_HALF_LIFE = 1.5  # seconds
+INITIAL_PAUSE = 0.2  # seconds without requests after the first failure to reach it
+MAX_PAUSE = 2.0  # seconds
+# Multiple of the expected processing time; longer silence counts as waiting time.
+SILENCE_TOLERANCE = 2.0
+# Multiple of the target latency by which an endpoint in another zone must be faster.
+ZONE_PENALTY = 0.2
+# Multiple of the target latency added for an endpoint that sheds all requests.
+SHED_PENALTY = 2.0
+# Multiple of the target latency; spreads the requests of entries with the same data.
+JITTER = 0.1
+DEFAULT_PROCESSING_TIME = (
+    0.1  # seconds of processing, until a route's own mean is known
+)
 
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What an exit told of its endpoint with an answer.
+    """The load of an endpoint, as its exit reports it with each answer.
 
     :param running: requests that the endpoint runs.
     :param waiting: requests in the exit's queue.
@@ -45,12 +51,20 @@
 class Candidate:
     """One endpoint as an entry sees it.
 
-    :param node: name of the node beside it.
+    :param node: name of the endpoint's node.
     :param hop: address of that node for calls from other nodes.
-    :param in_flight: requests of this entry that it has now.
-    :param lost: whether the node beside it can't be reached; it gets no request
-        until it was found again.
-    :param heard_at: when it last answered, or got a request with none before it.
+    :param slots: requests that the endpoint runs at once.
+    :param in_flight: requests of this entry that are at the endpoint now.
+    :param last_answer_at: monotonic seconds of its last answer, or of a request that
+        was sent while no other one was in flight.
+    :param load_in_flight: value of ``in_flight`` when the load was reported.
+    :param last_latency_ratio: its processing time over the mean of all endpoints, as
+        of ``latency_ratio_at``.
+    :param last_shed_share: fraction of requests that it sheds or fails, as of
+        ``shed_at``.
+    :param failures: consecutive failures to reach it.
+    :param lost: whether its node can't be reached; it gets no request until the node
+        answers again.
     """
 
     node: str
@@ -61,102 +75,120 @@
     version: str
     slots: int
     in_flight: int = 0
-    heard_at: float = 0.0
+    last_answer_at: float = 0.0
     load: Load | None = None
     load_at: float = 0.0
     load_in_flight: int = 0
-    factor: float = 1.0
-    factor_at: float = 0.0
-    shed: float = 0.0
+    last_latency_ratio: float = 1.0
+    latency_ratio_at: float = 0.0
+    last_shed_share: float = 0.0
     shed_at: float = 0.0
     failures: int = 0
     paused_until: float = 0.0
     lost: bool = False
 
     def begin(self, now: float) -> None:
-        """Count a request that is sent to it."""
+        """Record a request that is sent to the endpoint."""
         if not self.in_flight:
-            self.heard_at = now
+            self.last_answer_at = now
         self.in_flight += 1
 
     def end(self, answered: bool, now: float) -> None:
-        """Count the end of a request, with an answer of its node or without."""
+        """Record the end of a request.
+
+        :param answered: whether the node answered it.
+        """
         self.in_flight -= 1
         if answered:
-            self.heard_at = now
+            self.last_answer_at = now
 
-    def silence(self, now: float) -> float:
-        """Return the seconds for which it has owed an answer."""
-        return now - self.heard_at if self.in_flight else 0.0
+    def unanswered_time(self, now: float) -> float:
+        """Return the seconds for which the endpoint has not answered.
+
+        The result is 0 if no request is in flight.
+        """
+        return now - self.last_answer_at if self.in_flight else 0.0
 
     def record_load(self, load: Load, now: float) -> None:
-        """Take over the load that came with an answer."""
+        """Record the load that was reported with an answer."""
         self.load = load
         self.load_at = now
         self.load_in_flight = self.in_flight
 
     def record_latency_ratio(self, ratio: float, now: float) -> None:
-        """Learn from one answer; ``ratio`` is its time over the route's mean."""
-        low, high = FACTOR_RANGE
-        known = self.latency_ratio(now)
-        wanted = known + FACTOR_WEIGHT * (ratio - known)
-        self.factor = min(max(wanted, low), high)
-        self.factor_at = now
+        """Record the processing time of one answer.
+
+        :param ratio: that time over the mean of the route at all endpoints.
+        """
+        low, high = LATENCY_RATIO_RANGE
+        previous = self.latency_ratio(now)
+        updated = previous + LATENCY_RATIO_WEIGHT * (ratio - previous)
+        self.last_latency_ratio = min(max(updated, low), high)
+        self.latency_ratio_at = now
 
     def latency_ratio(self, now: float) -> float:
-        """Return its time over the mean of all; old evidence fades towards 1."""
-        kept = 0.5 ** ((now - self.factor_at) / FACTOR_MEMORY)
-        return 1.0 + (self.factor - 1.0) * kept
+        """Return the endpoint's processing time over the mean of all endpoints.
+
+        Without new answers, the ratio decays towards 1.
+        """
+        decay = 0.5 ** ((now - self.latency_ratio_at) / LATENCY_RATIO_HALF_LIFE)
+        return 1.0 + (self.last_latency_ratio - 1.0) * decay
 
     def record_shed(self, shed: bool, now: float) -> None:
-        """Learn whether the endpoint turned a request away."""
-        known = self.shed_share(now)
-        self.shed = known + SHED_WEIGHT * (float(shed) - known)
+        """Record whether the endpoint shed or failed a request."""
+        previous = self.shed_share(now)
+        self.last_shed_share = previous + SHED_WEIGHT * (float(shed) - previous)
         self.shed_at = now
 
     def shed_share(self, now: float) -> float:
-        """Return the part of requests that it turns away, or fails."""
-        return self.shed * 0.5 ** ((now - self.shed_at) / SHED_MEMORY)
+        """Return the fraction of requests that the endpoint sheds or fails."""
+        return self.last_shed_share * 0.5 ** ((now - self.shed_at) / SHED_HALF_LIFE)
 
     def record_unreachable(self, now: float) -> None:
-        """Send it nothing for a while; longer each time it fails again."""
+        """Pause the endpoint; each consecutive failure doubles the pause.
+
+        Failures during a pause are not counted.
+        """
         if now < self.paused_until:
             return
-        pause = min(FIRST_PAUSE * 2**self.failures, LONGEST_PAUSE)
+        pause = min(INITIAL_PAUSE * 2**self.failures, MAX_PAUSE)
         self.failures += 1
         self.paused_until = now + pause
 
     def record_reachable(self) -> None:
-        """The node beside it answered."""
+        """Record that the endpoint's node answered, and end its pause."""
         self.failures = 0
         self.paused_until = 0.0
         self.lost = False
 
-    def wait(self, work: float, now: float) -> float:
-        """Return the seconds that a request would wait there for a slot."""
-        known = 0.0
+    def expected_wait(self, processing_time: float, now: float) -> float:
+        """Return the seconds that a request would wait there for a slot.
+
+        :param processing_time: expected seconds of one request.
+        """
+        reported = 0.0
         added = self.in_flight
-        if self.load is not None and now - self.load_at < REPORT_AGE:
+        if self.load is not None and now - self.load_at < LOAD_REPORT_TTL:
             added -= self.load_in_flight
             busy = self.load.running + self.load.waiting + added
-            known = self.load.wait
+            reported = self.load.wait
         else:
             busy = added
-        over = busy + 1 - self.slots
-        if over <= 0:
+        excess = busy + 1 - self.slots
+        if excess <= 0:
             return 0.0
-        return max(over / self.slots * work, known)
+        return max(excess / self.slots * processing_time, reported)
 
 
 @dataclasses.dataclass(slots=True)
 class Mean:
-    """The mean time of a route's requests at all endpoints, in seconds."""
+    """Moving average of a route's processing time at all endpoints, in seconds."""
 
     seconds: float = 0.0
     weight: float = 0.05
 
-    def note(self, seconds: float) -> None:
-        """Learn from one answer."""
+    def record(self, seconds: float) -> None:
+        """Record the processing time of one answer."""
         if not self.seconds:
             self.seconds = seconds
         self.seconds += self.weight * (seconds - self.seconds)
@@ -167,10 +199,10 @@
 
 @PLACERS.register("expected-time")
 class Placer:
-    """Chooses by expected time, the own zone first.
+    """Chooses the endpoint with the least expected time, preferring its own zone.
 
-    Bytes between zones are dear, so a request leaves its zone only where it is
-    clearly better off elsewhere.
+    Traffic between zones is expensive, so a request leaves its zone only if an
+    endpoint elsewhere is clearly faster.
 
     :param zone: the entry's own availability zone.
     """
@@ -183,86 +215,95 @@
         self.means: dict[str, Mean] = {}
 
     def mean(self, route: str) -> Mean:
-        """Return the mean time of a route."""
-        found = self.means.get(route)
-        if found is None:
-            found = self.means[route] = Mean()
-        return found
+        """Return the mean processing time of a route, to be read or updated."""
+        mean = self.means.get(route)
+        if mean is None:
+            mean = self.means[route] = Mean()
+        return mean
 
     def choose(
         self,
-        found: collections.abc.Iterable[Candidate],
+        candidates: collections.abc.Iterable[Candidate],
         route: str,
         target: float,
         now: float,
     ) -> Candidate | None:
         """Return the candidate with the least cost, or None if all are lost.
 
-        Candidates whose endpoint was not usable just now come last; one of them
-        is tried only if there is no other.
+        A paused candidate is chosen only if there is no other.
 
-        :param target: seconds within which an answer is timely.
+        :param target: target latency of the route in seconds.
         """
-        work = self.mean(route).seconds or DEFAULT_PROCESSING_TIME
+        processing_time = self.mean(route).seconds or DEFAULT_PROCESSING_TIME
         best = None
         least = (True, float("inf"))
-        for item in found:
-            if item.lost:
+        for candidate in candidates:
+            if candidate.lost:
                 continue
-            cost = (item.paused_until > now, self.cost(item, work, target, now))
+            cost = (
+                candidate.paused_until > now,
+                self.cost(candidate, processing_time, target, now),
+            )
             if cost < least:
-                best, least = item, cost
+                best, least = candidate, cost
         return best
 
-    def cost(self, item: Candidate, work: float, target: float, now: float) -> float:
-        """Return the expected seconds, and what else speaks against it."""
-        usual = work * item.latency_ratio(now)
-        expected = usual + max(
-            item.wait(work, now), item.silence(now) - PATIENCE * usual
+    def cost(
+        self, candidate: Candidate, processing_time: float, target: float, now: float
+    ) -> float:
+        """Return the expected seconds of a request, plus penalties and jitter."""
+        own_time = processing_time * candidate.latency_ratio(now)
+        expected = own_time + max(
+            candidate.expected_wait(processing_time, now),
+            candidate.unanswered_time(now) - SILENCE_TOLERANCE * own_time,
         )
-        if item.zone != self.zone:
+        if candidate.zone != self.zone:
             expected += self.zone_penalty * target
-        expected += SHED_PENALTY * target * item.shed_share(now)
+        expected += SHED_PENALTY * target * candidate.shed_share(now)
         return expected + JITTER * target * self.random.random()
 
     def record_processing_time(
-        self, item: Candidate, route: str, seconds: float, now: float
+        self, candidate: Candidate, route: str, seconds: float, now: float
     ) -> None:
-        """Learn from an answer that took the endpoint ``seconds``."""
+        """Record an answer that took the endpoint ``seconds`` to process."""
         mean = self.mean(route)
-        mean.note(seconds)
-        item.record_latency_ratio(seconds / mean.seconds, now)
+        mean.record(seconds)
+        candidate.record_latency_ratio(seconds / mean.seconds, now)
 
 
 @PLACERS.register("any-zone")
 class AnyZone(Placer):
-    """Chooses by expected time, whatever the zone."""
+    """Chooses the endpoint with the least expected time in any zone."""
 
     zone_penalty = 0.0
 
 
 @PLACERS.register("least-busy")
 class LeastBusy(Placer):
-    """Chooses by load alone: neither speed nor shed requests count."""
+    """Chooses by load and zone; latency ratios and shed requests are ignored."""
 
     def record_processing_time(
-        self, item: Candidate, route: str, seconds: float, now: float
+        self, candidate: Candidate, route: str, seconds: float, now: float
     ) -> None:
-        """Learn the route's mean time only."""
-        self.mean(route).note(seconds)
-
-    def cost(self, item: Candidate, work: float, target: float, now: float) -> float:
-        """Return the expected seconds at an endpoint as fast as any other."""
-        expected = work + item.wait(work, now)
-        if item.zone != self.zone:
+        """Record the processing time in the route's mean only."""
+        self.mean(route).record(seconds)
+
+    def cost(
+        self, candidate: Candidate, processing_time: float, target: float, now: float
+    ) -> float:
+        """Return the expected seconds at an endpoint of average latency."""
+        expected = processing_time + candidate.expected_wait(processing_time, now)
+        if candidate.zone != self.zone:
             expected += self.zone_penalty * target
         return expected + JITTER * target * self.random.random()
 
 
 @PLACERS.register("random")
 class Random(Placer):
-    """Chooses at random among the endpoints that were usable just now."""
+    """Chooses at random among the endpoints that are not paused."""
 
-    def cost(self, item: Candidate, work: float, target: float, now: float) -> float:
+    def cost(
+        self, candidate: Candidate, processing_time: float, target: float, now: float
+    ) -> float:
         """Return a random number."""
         return self.random.random()
--- a/rattanridge/policies/quarantine.py
+++ b/rattanridge/policies/quarantine.py
@@ -1,9 +1,9 @@
-"""Which requests are held back because upstreams die of them. Needs no network.
+"""Decides which requests to quarantine because they crash upstreams. No network.
 
-Answers this load: a request that breaks each upstream which begins to run it,
-and that comes again, with the same path and body, at any node. An upstream that
-dies for another reason takes innocent requests with it; so only those that began
-just before its end are suspected, two ends are needed, and an answer clears.
+Handles a request that crashes each upstream that starts to run it, and that is sent
+again with the same path and body, to any node. An upstream that stops for another
+reason breaks harmless requests too. Therefore only requests that started just before
+the crash are suspected, two crashes are needed, and an answer clears a request.
 """
 
 import msgspec
@@ -11,19 +11,19 @@
 from rattanridge.kernel import hashing
 
 FINGERPRINT_BYTES = 12
-CRASHES = 2  # ends of upstreams after which a request is held back
-BEGUN_WITHIN = 0.25  # seconds before an upstream's end that make a request suspect
-CONFIRM_WITHIN = 3.0  # seconds in which the end of an upstream must show
+CRASH_THRESHOLD = 2  # crashes of upstreams after which a request is quarantined
+MAX_SUSPECT_RUN_TIME = 0.25  # seconds that a suspect request ran before the crash
+CONFIRM_TIMEOUT = 3.0  # seconds within which the crash must be confirmed
 EVIDENCE_TTL = 60.0  # seconds that evidence is kept
-SUSPECTS_MOST = 32  # fingerprints that one node tells
+MAX_SUSPECTS = 32  # fingerprints that one node publishes
 
 
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """A request that began just before an upstream's end.
+    """A request that started just before an upstream crashed.
 
-    :param fingerprint: hash of what makes it the same request.
-    :param crashes: ends of upstreams that one node saw.
-    :param until: seconds since the epoch until which this counts.
+    :param fingerprint: hash that identifies the request.
+    :param crashes: number of crashes that one node observed.
+    :param until: seconds since the epoch at which this evidence expires.
     """
 
     fingerprint: str
@@ -32,16 +32,16 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return the hash by which a request is known again."""
-    name = path.encode(errors="surrogateescape")
-    return hashing.hash_parts(method.encode(), name, body, size=FINGERPRINT_BYTES)
+    """Return the hash that identifies a request when it is sent again."""
+    path_bytes = path.encode(errors="surrogateescape")
+    return hashing.hash_parts(method.encode(), path_bytes, body, size=FINGERPRINT_BYTES)
 
 
 class CrashEvidence:
-    """What one node saw its upstream die of.
+    """The requests that one node suspects of crashing its upstream.
 
-    A connection that breaks is no proof. The end of the upstream shows when it
-    takes no connection, or when another incarnation of it speaks.
+    A broken connection alone does not prove a crash. The crash is confirmed when the
+    upstream refuses connections or another incarnation of it sends a heartbeat.
     """
 
     def __init__(self) -> None:
@@ -49,57 +49,65 @@
         self.suspects: dict[str, Suspect] = {}
 
     def record_broken_request(self, name: str, ran_for: float, now: float) -> None:
-        """A connection broke under a request that ran for some seconds."""
-        if ran_for <= BEGUN_WITHIN:
+        """Record a request whose connection to the upstream broke.
+
+        :param name: fingerprint of the request.
+        :param ran_for: seconds that it ran.
+        """
+        if ran_for <= MAX_SUSPECT_RUN_TIME:
             self.pending.append((now, name))
 
     def record_crash(self, now: float, wall: float) -> bool:
-        """The upstream has ended; return whether the suspects changed."""
-        found = {name for at, name in self.pending if now - at <= CONFIRM_WITHIN}
+        """Record a confirmed crash; return whether the suspects changed.
+
+        :param now: monotonic seconds.
+        :param wall: seconds since the epoch.
+        """
+        confirmed = {name for at, name in self.pending if now - at <= CONFIRM_TIMEOUT}
         self.pending.clear()
-        for name in found:
-            known = self.suspects.get(name)
-            crashes = known.crashes + 1 if known is not None else 1
+        for name in confirmed:
+            suspect = self.suspects.get(name)
+            crashes = suspect.crashes + 1 if suspect is not None else 1
             self.suspects[name] = Suspect(name, crashes, int(wall + EVIDENCE_TTL))
-        while len(self.suspects) > SUSPECTS_MOST:
+        while len(self.suspects) > MAX_SUSPECTS:
             self.suspects.pop(next(iter(self.suspects)))
-        return bool(found)
+        return bool(confirmed)
 
     def clear(self, name: str) -> bool:
-        """The upstream answered a request; return whether the suspects changed."""
+        """Drop a request that was answered; return whether the suspects changed."""
         return self.suspects.pop(name, None) is not None
 
     def expire(self, wall: float) -> bool:
-        """Drop what is too old; return whether the suspects changed."""
-        old = [name for name, item in self.suspects.items() if item.until <= wall]
-        for name in old:
+        """Drop expired suspects; return whether there were any."""
+        expired = [name for name, item in self.suspects.items() if item.until <= wall]
+        for name in expired:
             del self.suspects[name]
-        return bool(old)
+        return bool(expired)
 
 
 class Quarantine:
-    """The evidence of all nodes, as one node knows it."""
+    """The evidence of all nodes, as one node has received it."""
 
     def __init__(self) -> None:
         self.reported: dict[str, tuple[Suspect, ...]] = {}
         self.cleared: dict[str, float] = {}
 
     def apply(self, node: str, suspects: tuple[Suspect, ...]) -> None:
-        """Take over what a node tells; nothing is told by a node that is gone."""
+        """Replace the suspects that a node published; none if the node is gone."""
         if suspects:
             self.reported[node] = suspects
         else:
             self.reported.pop(node, None)
 
     def clear(self, name: str, wall: float) -> None:
-        """An upstream answered a request: what others saw counts no more."""
+        """Ignore the evidence on a request that an upstream answered."""
         self.cleared = {
-            known: until for known, until in self.cleared.items() if until > wall
+            cleared: until for cleared, until in self.cleared.items() if until > wall
         }
         self.cleared[name] = wall + EVIDENCE_TTL
 
     def is_quarantined(self, name: str, wall: float) -> bool:
-        """Whether a request is held back."""
+        """Return whether a request is quarantined."""
         if self.cleared.get(name, 0.0) > wall:
             return False
         crashes = sum(
@@ -108,4 +116,4 @@
             for item in suspects
             if item.fingerprint == name and item.until > wall
         )
-        return crashes >= CRASHES
+        return crashes >= CRASH_THRESHOLD
--- a/rattanridge/policies/splitting.py
+++ b/rattanridge/policies/splitting.py
@@ -4,14 +4,16 @@
 
 from rattanridge.kernel import routes
 
-KEPT = 1_000  # divisions whose credits are kept; those of older configurations stay
+# Traffic splits whose credits are kept in memory. All are discarded when there are
+# more, as those of earlier configurations are never removed one by one.
+MAX_SPLITS = 1_000
 
 
 class Splitter:
-    """Keeps each service's part close to its weight at any time.
+    """Keeps each service's share of requests close to its weight at any time.
 
-    Each request adds every service's part to its credit and goes to the one
-    with most; so the parts hold after a few requests already.
+    Each request adds every service's weighted share to its credit and goes to the
+    service with the highest credit, so the shares hold after a few requests.
     """
 
     def __init__(self, rng: random.Random | None = None):
@@ -22,18 +24,18 @@
         """Return the service that the next request of a route goes to."""
         if len(route.shares) == 1:
             return route.shares[0].service
-        known = self.credits.get(route.shares)
-        if known is None:
-            if len(self.credits) >= KEPT:
+        credits = self.credits.get(route.shares)
+        if credits is None:
+            if len(self.credits) >= MAX_SPLITS:
                 self.credits.clear()
-            known = [self.random.random() for _ in route.shares]
-            self.credits[route.shares] = known
+            credits = [self.random.random() for _ in route.shares]
+            self.credits[route.shares] = credits
         total = sum(share.weight for share in route.shares)
         for index, share in enumerate(route.shares):
-            known[index] += share.weight / total
+            credits[index] += share.weight / total
         best = max(
             (index for index, share in enumerate(route.shares) if share.weight > 0),
-            key=known.__getitem__,
+            key=credits.__getitem__,
         )
-        known[best] -= 1.0
+        credits[best] -= 1.0
         return route.shares[best].service
--- a/tests/test_budget_nodes.py
+++ b/tests/test_budget_nodes.py
@@ -1,60 +1,61 @@
-"""Among how many nodes one node divides what all of them share."""
+"""Number of nodes among which a node divides the shared retry allowance."""
 
 from rattanridge.policies import budget_nodes
 
-SPAN = 13.0
-LONG = (
-    SPAN + budget_nodes.FRESH + budget_nodes.STALE + 0.1
-)  # seconds until a node takes a part
+SPAN = 13.0  # seconds
+# Seconds after the first contact to the store until a node takes a share.
+SETTLE_TIME = SPAN + budget_nodes.MAX_CONTACT_AGE + budget_nodes.MAX_STALENESS + 0.1
 
 
 def settled(*names):
-    """Return the sharers of node ``a`` that knows others since the time 0."""
+    """Return the state of node ``a``; the store reports ``names`` from time 0 on."""
     found = budget_nodes.BudgetNodes("a", SPAN)
     found.apply_names(names, 0.0)
-    found.apply_names(names, LONG)
+    found.apply_names(names, SETTLE_TIME)
     return found
 
 
 class TestSharers:
-    def test_divides_among_all_nodes_that_the_store_knows(self):
-        assert settled("a", "b", "c").count(LONG) == 3
+    def test_divides_by_all_nodes_in_the_store(self):
+        assert settled("a", "b", "c").count(SETTLE_TIME) == 3
 
-    # Guards against: each process that starts takes a part of the fixed rest anew.
-    def test_a_node_that_has_just_started_takes_no_part(self):
+    # Guards against restarts that add up: each new process takes a share again, while
+    # what its predecessor spent still counts.
+    def test_started_node_takes_no_share_yet(self):
         found = budget_nodes.BudgetNodes("a", SPAN)
         assert found.count(0.0) == 0
         found.apply_names(("a", "b"), 0.0)
-        found.apply_names(("a", "b"), LONG - 0.2)
-        assert found.count(LONG - 0.2) == 0
+        found.apply_names(("a", "b"), SETTLE_TIME - 0.2)
+        assert found.count(SETTLE_TIME - 0.2) == 0
 
-    # Guards against: a node that knows nobody takes the whole fixed rest.
-    def test_a_node_that_the_store_does_not_know_takes_no_part(self):
-        assert settled("b", "c").count(LONG) == 0
+    # Guards against a node that has seen no other node and takes the whole allowance.
+    def test_node_missing_in_the_store_takes_no_share(self):
+        assert settled("b", "c").count(SETTLE_TIME) == 0
 
-    # Guards against: nodes that know only some of the others take too large parts.
-    def test_a_node_that_does_not_hear_the_store_takes_no_part(self):
+    # Guards against shares that are too large: a node without contact to the store has
+    # not seen the nodes that joined since.
+    def test_node_without_contact_to_the_store_takes_no_share(self):
         found = settled("a", "b")
-        assert found.count(LONG + budget_nodes.FRESH) == 2
-        assert found.count(LONG + budget_nodes.FRESH + 0.1) == 0
-        found.record_contact(LONG + 20.0)
-        assert found.count(LONG + 20.0) == 2
+        assert found.count(SETTLE_TIME + budget_nodes.MAX_CONTACT_AGE) == 2
+        assert found.count(SETTLE_TIME + budget_nodes.MAX_CONTACT_AGE + 0.1) == 0
+        found.record_contact(SETTLE_TIME + 20.0)
+        assert found.count(SETTLE_TIME + 20.0) == 2
 
-    def test_a_node_that_was_forgotten_waits_again(self):
+    def test_node_that_was_removed_from_the_store_waits_again(self):
         found = settled("a", "b")
-        found.apply_names(("b",), LONG + 1.0)
-        found.apply_names(("a", "b"), LONG + 2.0)
-        assert found.count(LONG + 2.0) == 0
+        found.apply_names(("b",), SETTLE_TIME + 1.0)
+        found.apply_names(("a", "b"), SETTLE_TIME + 2.0)
+        assert found.count(SETTLE_TIME + 2.0) == 0
 
-    def test_nodes_that_left_count_while_what_they_spent_counts(self):
+    def test_departed_nodes_count_while_their_spending_counts(self):
         found = settled("a", "b", "c")
-        found.apply_names(("a", "b"), LONG + 1.0)
-        assert found.count(LONG + 1.0) == 3
-        found.apply_names(("a", "b"), 2 * LONG + 1.0)
-        assert found.count(2 * LONG + 1.0) == 2
+        found.apply_names(("a", "b"), SETTLE_TIME + 1.0)
+        assert found.count(SETTLE_TIME + 1.0) == 3
+        found.apply_names(("a", "b"), 2 * SETTLE_TIME + 1.0)
+        assert found.count(2 * SETTLE_TIME + 1.0) == 2
 
-    def test_a_node_that_comes_back_counts_once(self):
+    def test_returning_node_counts_once(self):
         found = settled("a", "b")
-        found.apply_names(("a",), LONG + 1.0)
-        found.apply_names(("a", "b"), LONG + 2.0)
-        assert found.count(LONG + 2.0) == 2
+        found.apply_names(("a",), SETTLE_TIME + 1.0)
+        found.apply_names(("a", "b"), SETTLE_TIME + 2.0)
+        assert found.count(SETTLE_TIME + 2.0) == 2
--- a/tests/test_idle_timeout.py
+++ b/tests/test_idle_timeout.py
@@ -1,4 +1,4 @@
-"""How long kept connections may rest, at upstreams that forget them."""
+"""Reuse of idle connections to upstreams that drop them silently."""
 
 import asyncio
 
@@ -8,55 +8,58 @@
 from rattanridge.policies import idle_timeout
 from rattanridge.web import memory
 
-QUICK = 0.002  # seconds
+QUICK = 0.002  # seconds from the request until the connection breaks
 
 
-class TestForgetfulUpstream:
-    """Connections that rested for 320 ms or more are lost with what is sent next."""
+class TestSilentIdleTimeout:
+    """An upstream that silently drops connections idle for 320 ms or more."""
 
-    def play(self, rests, careful_share=0.3, limit=0.32):
-        """Use connections after the rests given; return the requests lost."""
+    def simulate(self, idle_times, non_idempotent_share=0.3, limit=0.32):
+        """Send requests on connections with the given idle times.
+
+        Return the lost requests: for each, whether it was not idempotent.
+        """
         known = idle_timeout.IdleTimeout()
         lost = []
-        for number, rest in enumerate(rests):
+        for number, idle in enumerate(idle_times):
             now = number * 0.1
-            careful = number % 10 < careful_share * 10
-            if rest > known.max_idle(careful, now):
+            non_idempotent = number % 10 < non_idempotent_share * 10
+            if idle > known.max_idle(non_idempotent, now):
                 continue
-            if rest >= limit:
-                lost.append(careful)
-                known.record_break(rest, QUICK, now)
+            if idle >= limit:
+                lost.append(non_idempotent)
+                known.record_break(idle, QUICK, now)
         return lost
 
-    def test_one_loss_teaches(self):
-        assert len(self.play([0.05, 0.5, 0.05, 0.4, 0.9, 0.33] * 40)) <= 3
+    def test_few_requests_are_lost(self):
+        assert len(self.simulate([0.05, 0.5, 0.05, 0.4, 0.9, 0.33] * 40)) <= 3
 
-    def test_it_is_forgotten_again(self):
+    def test_estimate_expires(self):
         known = idle_timeout.IdleTimeout()
         known.record_break(0.4, QUICK, 0.0)
         assert known.max_idle(False, 1.0) < 0.4
-        assert known.max_idle(False, idle_timeout.MEMORY + 1.0) == float("inf")
+        assert known.max_idle(False, idle_timeout.LOSS_TTL + 1.0) == float("inf")
 
-    def test_work_that_must_not_repeat_is_more_careful(self):
+    def test_non_idempotent_requests_have_a_shorter_limit(self):
         known = idle_timeout.IdleTimeout()
         known.record_break(0.4, QUICK, 0.0)
         assert known.max_idle(True, 1.0) < known.max_idle(False, 1.0)
 
 
 class TestOtherBreaks:
-    """An upstream that dies, or resets requests, forgets nothing."""
+    """Connections that break for another reason: crashes and resets."""
 
     @pytest.mark.parametrize(
-        ("rested", "lasted"), [(0.0, QUICK), (0.05, QUICK), (0.4, 0.2), (3.0, 1.0)]
+        ("idle", "lasted"), [(0.0, QUICK), (0.05, QUICK), (0.4, 0.2), (3.0, 1.0)]
     )
-    def test_teach_nothing(self, rested, lasted):
+    def test_set_no_limit(self, idle, lasted):
         known = idle_timeout.IdleTimeout()
-        assert not known.record_break(rested, lasted, 0.0)
+        assert not known.record_break(idle, lasted, 0.0)
         assert known.max_idle(True, 0.1) == float("inf")
 
 
 class TestPool:
-    async def test_one_that_rested_too_long_is_left(self):
+    async def test_connection_idle_for_too_long_is_not_reused(self):
         async def serve(reader, writer):
             await reader.read()
 
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency-key sources."""
+"""Sources of idempotency keys."""
 
 import multidict
 import pytest
@@ -17,13 +17,13 @@
 
 
 def request(body=b"", **headers):
-    sent = multidict.CIMultiDict({k.replace("_", "-"): v for k, v in headers.items()})
-    return sent, body
+    fields = multidict.CIMultiDict({k.replace("_", "-"): v for k, v in headers.items()})
+    return fields, body
 
 
 class TestSources:
     @pytest.mark.parametrize(
-        ("source", "name", "seen", "key"),
+        ("source", "name", "received", "key"),
         [
             ("header", "Idempotency-Key", request(idempotency_key=" a1 "), "a1"),
             ("header", "Idempotency-Key", request(), ""),
@@ -36,8 +36,8 @@
             ("json-field", "order", request(b"\xff"), ""),
         ],
     )
-    def test_key(self, source, name, seen, key):
-        assert routes.KEY_SOURCES.get(source)(name).read(*seen) == key
+    def test_key(self, source, name, received, key):
+        assert routes.KEY_SOURCES.get(source)(name).read(*received) == key
 
 
 class TestPresets:
@@ -49,7 +49,7 @@
             "{source: json-field, name: ''}",
         ],
     )
-    def test_refused(self, key):
+    def test_invalid_key_source_is_refused(self, key):
         with pytest.raises(codes.Failure) as caught:
             presets.parse(PRESET.replace("KEY", key))
         assert caught.value.code is codes.BAD_FIELD
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests of which upstreams die are held back; innocent ones are not."""
+"""Requests that crash upstreams are quarantined; harmless ones are not."""
 
 import aiohttp
 
@@ -11,24 +11,25 @@
 
 
 class Node:
-    """One node's evidence, which another one hears of."""
+    """A node that publishes its evidence to a quarantine."""
 
     def __init__(self, name, quarantined):
         self.name = name
         self.evidence = quarantine.CrashEvidence()
         self.quarantined = quarantined
 
-    def crash(self, request, at=0.0, ran_for=0.01, seen_after=0.1):
+    def crash(self, request, at=0.0, ran_for=0.01, confirmed_after=0.1):
+        """Let the upstream crash under a request, and publish the evidence."""
         self.evidence.record_broken_request(request, ran_for, at)
-        self.evidence.record_crash(at + seen_after, NOW + at)
-        told = tuple(self.evidence.suspects.values())
-        self.quarantined.apply(self.name, told)
+        self.evidence.record_crash(at + confirmed_after, NOW + at)
+        suspects = tuple(self.evidence.suspects.values())
+        self.quarantined.apply(self.name, suspects)
 
 
-class TestPoison:
-    """A request that breaks each upstream which begins to run it."""
+class TestCrashingRequest:
+    """A request that crashes each upstream that starts to run it."""
 
-    def test_two_ends_hold_it_back(self):
+    def test_is_quarantined_after_two_crashes(self):
         known = quarantine.Quarantine()
         first, second = Node("a", known), Node("b", known)
         first.crash("poison")
@@ -37,20 +38,20 @@
         assert known.is_quarantined("poison", NOW)
         assert not known.is_quarantined("other", NOW)
 
-    def test_of_one_upstream_twice(self):
+    def test_is_quarantined_after_two_crashes_of_one_upstream(self):
         known = quarantine.Quarantine()
         node = Node("a", known)
         node.crash("poison")
         node.crash("poison", at=5.0)
         assert known.is_quarantined("poison", NOW)
 
-    def test_it_ends(self):
+    def test_quarantine_expires(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("poison")
         assert not known.is_quarantined("poison", NOW + quarantine.EVIDENCE_TTL + 1)
 
-    def test_a_node_that_is_gone_tells_nothing(self):
+    def test_evidence_of_a_removed_node_is_dropped(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("poison")
@@ -58,10 +59,10 @@
         assert not known.is_quarantined("poison", NOW)
 
 
-class TestInnocent:
-    """Upstreams that die for other reasons, under load."""
+class TestHarmlessRequest:
+    """Upstreams that crash for other reasons while they run requests."""
 
-    def test_a_reset_connection_is_no_end(self):
+    def test_reset_connections_are_no_crash(self):
         known = quarantine.Quarantine()
         evidence = quarantine.CrashEvidence()
         for at in range(10):
@@ -69,21 +70,21 @@
         assert not evidence.record_crash(60.0, NOW)
         assert not known.reported
 
-    def test_requests_that_ran_for_long_are_not_suspected(self):
+    def test_long_running_requests_are_not_suspected(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
-            Node(name, known).crash("r", ran_for=quarantine.BEGUN_WITHIN * 2)
+            Node(name, known).crash("r", ran_for=quarantine.MAX_SUSPECT_RUN_TIME * 2)
         assert not known.is_quarantined("r", NOW)
 
-    def test_an_answer_clears(self):
+    def test_answer_clears_a_request(self):
         known = quarantine.Quarantine()
         for name in ("a", "b"):
             Node(name, known).crash("r")
         known.clear("r", NOW)
         assert not known.is_quarantined("r", NOW)
 
-    def test_full_endpoints_that_die_one_after_the_other(self):
-        """Each takes the requests of its slots with it; each request is new."""
+    def test_consecutive_crashes_of_busy_upstreams(self):
+        """Each crash breaks the requests of all slots; no request is sent twice."""
         known = quarantine.Quarantine()
         for number in range(8):
             node = Node(f"n{number}", known)
@@ -96,14 +97,14 @@
             for slot in range(12)
         )
 
-    def test_bounded_in_number(self):
+    def test_number_of_suspects_is_bounded(self):
         evidence = quarantine.CrashEvidence()
-        for number in range(quarantine.SUSPECTS_MOST * 2):
+        for number in range(quarantine.MAX_SUSPECTS * 2):
             evidence.record_broken_request(f"r{number}", 0.01, 0.0)
             evidence.record_crash(0.1, NOW)
-        assert len(evidence.suspects) == quarantine.SUSPECTS_MOST
+        assert len(evidence.suspects) == quarantine.MAX_SUSPECTS
 
-    def test_old_evidence_is_dropped(self):
+    def test_old_evidence_expires(self):
         evidence = quarantine.CrashEvidence()
         evidence.record_broken_request("r", 0.01, 0.0)
         evidence.record_crash(0.1, NOW)
@@ -123,14 +124,14 @@
     return sum(host.upstream.counts["crashes"] for host in hosts)
 
 
-def all_know(hosts):
-    """Whether the evidence of all crashes reached every node."""
+def all_received(hosts):
+    """Return whether the evidence of all crashes has reached every node."""
     crashes = count_crashes(hosts)
     return all(len(host.node.suspects.quarantine.reported) == crashes for host in hosts)
 
 
 class TestFleet:
-    async def test_no_third_upstream_through_any_node(self):
+    async def test_request_crashes_at_most_two_upstreams_through_any_node(self):
         async with fleet.Fleet() as made, aiohttp.ClientSession() as session:
             shape = upstreams.Shape("archives", work=0.0)
             hosts = [await made.add(name, "zone-a", shape) for name in "abcd"]
@@ -141,8 +142,8 @@
                 host.upstream.faults.crash_on = "cracked"
             for host in hosts:
                 await send(session, host, "/archives/cracked")
-                await made.wait(lambda: all_know(hosts))
-            assert count_crashes(hosts) == quarantine.CRASHES
+                await made.wait(lambda: all_received(hosts))
+            assert count_crashes(hosts) == quarantine.CRASH_THRESHOLD
             for host in hosts:
                 response = await send(session, host, "/archives/cracked")
                 assert response.headers[headers.CODE] == str(codes.QUARANTINED.number)
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -1,4 +1,4 @@
-"""Who waits at an exit, who is refused, and who comes next."""
+"""Admission to an exit's queue, and the order of its requests."""
 
 import asyncio
 
@@ -9,64 +9,67 @@
 from tests import virtual_time
 
 
-def ticket(rank=1, nested=False, timely=1.0, deadline=5.0, route="r"):
+def make_ticket(rank=1, nested=False, timely=1.0, deadline=5.0, route="r"):
     now = asyncio.get_running_loop().time()
     return queueing.Ticket(route, rank, nested, now + timely, now + deadline)
 
 
 async def fill(queue):
+    """Take all slots of the queue."""
     for _ in range(queue.slots):
-        await queue.acquire(ticket())
+        await queue.acquire(make_ticket())
 
 
-async def enter(queue, made):
-    task = asyncio.create_task(queue.acquire(made))
+async def enter(queue, ticket):
+    """Return a task that waits for a slot, once it is queued."""
+    task = asyncio.create_task(queue.acquire(ticket))
     await asyncio.sleep(0)
     return task
 
 
 class TestSlots:
-    async def test_never_more_than_slots(self):
+    async def test_never_runs_more_requests_than_slots(self):
         queue = queueing.Queue(3)
         await fill(queue)
-        waiting = await enter(queue, ticket())
+        waiting = await enter(queue, make_ticket())
         assert queue.running == 3
         assert not waiting.done()
         queue.release()
         await waiting
         assert queue.running == 3
 
-    async def test_a_caller_that_goes_away_gives_its_place_back(self):
+    async def test_cancelled_request_leaves_the_queue(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, ticket())
+        waiting = await enter(queue, make_ticket())
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert not queue.waiting
         queue.release()
         assert queue.running == 0
 
-    async def test_a_caller_that_goes_away_just_as_it_gets_a_slot(self):
+    async def test_request_cancelled_as_it_gets_a_slot_releases_it(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, ticket())
+        waiting = await enter(queue, make_ticket())
         queue.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert queue.running == 0
 
-    async def test_more_slots_are_used_at_once(self):
+    async def test_added_slots_are_used_immediately(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, ticket())
+        waiting = await enter(queue, make_ticket())
         queue.resize(2)
         await waiting
 
 
-# What waits, and what comes after it but is to run first.
+# Pairs of requests: one that waits, and one that arrives later but must run first.
 OVERTAKINGS = {
     "nested calls overtake new requests": ({"rank": 0}, {"rank": 2, "nested": True}),
-    # An overloaded service: its own requests would starve their parents.
+    # Otherwise new requests to an overloaded service would starve the parents of its
+    # nested calls.
     "nested calls overtake even if they will be late": (
         {"rank": 0},
         {"rank": 2, "nested": True, "timely": -0.1},
@@ -84,8 +87,8 @@
         queue = queueing.Queue(1)
         queue.times.record("r", 0.02)
         await fill(queue)
-        overtaken = await enter(queue, ticket(**earlier))
-        first = await enter(queue, ticket(**later))
+        overtaken = await enter(queue, make_ticket(**earlier))
+        first = await enter(queue, make_ticket(**later))
         queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -93,11 +96,11 @@
         assert not overtaken.done()
         overtaken.cancel()
 
-    async def test_equal_requests_run_as_they_came(self):
+    async def test_equal_requests_run_in_order_of_arrival(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        first = await enter(queue, ticket())
-        second = await enter(queue, ticket())
+        first = await enter(queue, make_ticket())
+        second = await enter(queue, make_ticket())
         queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -107,29 +110,29 @@
 
 
 class TestRefusal:
-    async def test_at_once_if_the_deadline_can_not_be_met(self):
+    async def test_is_immediate_if_the_deadline_can_not_be_met(self):
         queue = queueing.Queue(1)
         queue.times.record("r", 1.0)
         await fill(queue)
         with pytest.raises(codes.Failure) as caught:
-            await queue.acquire(ticket(deadline=0.8))
+            await queue.acquire(make_ticket(deadline=0.8))
         assert caught.value.code is codes.QUEUE_FULL
         assert caught.value.ran is codes.Execution.NOT_RUN
         assert caught.value.retry_after > 0
 
-    async def test_of_a_request_that_waits_until_it_is_hopeless(self):
+    async def test_of_a_waiting_request_that_can_not_meet_its_deadline(self):
         queue = queueing.Queue(1)
         queue.times.record("r", 0.02)
         await fill(queue)
         with pytest.raises(codes.Failure):
-            await queue.acquire(ticket(deadline=0.06))
+            await queue.acquire(make_ticket(deadline=0.06))
         assert not queue.waiting
 
-    async def test_of_all_when_the_endpoint_leaves(self):
+    async def test_of_all_requests_when_the_endpoint_drains(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, ticket())
-        queue.refuse_all(codes.DRAINING, "leaves")
+        waiting = await enter(queue, make_ticket())
+        queue.refuse_all(codes.DRAINING, "the endpoint drains")
         with pytest.raises(codes.Failure) as caught:
             await waiting
         assert caught.value.code is codes.DRAINING
@@ -138,47 +141,47 @@
         queue = queueing.Queue(1)
         queue.times.record("r", 100.0)
         await fill(queue)
-        assert queue.retry_after() == queueing.LONGEST_RETRY_AFTER
+        assert queue.retry_after() == queueing.MAX_RETRY_AFTER
 
     async def test_of_late_requests_unless_they_are_nested(self):
         queue = queueing.Queue(1)
         queue.times.record("r", 0.5)
         await fill(queue)
-        first = await enter(queue, ticket(timely=2.0))
+        first = await enter(queue, make_ticket(timely=2.0))
         with pytest.raises(codes.Failure):
-            await queue.acquire(ticket(timely=0.1, deadline=1.3))
-        nested = await enter(queue, ticket(timely=0.1, deadline=1.3, nested=True))
+            await queue.acquire(make_ticket(timely=0.1, deadline=1.3))
+        nested = await enter(queue, make_ticket(timely=0.1, deadline=1.3, nested=True))
         assert not nested.done()
         for task in (first, nested):
             task.cancel()
 
-    def test_a_burst_is_served_timely_or_refused_at_once(self):
-        """300 requests at once against 4 slots of 10 ms, timely within 0.2 s."""
-        refused, times, queue = virtual_time.run(self.play_burst())
+    def test_burst_is_served_in_time_or_refused_early(self):
+        """300 simultaneous requests of 10 ms at 4 slots; target latency 0.2 s."""
+        refused, times, queue = virtual_time.run(self.run_burst())
         assert len(times) >= 40
         assert max(times) < 0.4
         assert max(refused) < 0.4
         assert len(refused) + len(times) == 300
         assert queue.running == 0
 
-    async def play_burst(self):
-        """Return the times of refusals, those of answers, and the queue."""
+    async def run_burst(self):
+        """Return the seconds until each refusal and each answer, and the queue."""
         queue = queueing.Queue(4)
         queue.times.record("r", 0.01)
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         times = []
         refused = []
 
         async def run():
             try:
-                await queue.acquire(ticket(timely=0.2, deadline=0.4))
+                await queue.acquire(make_ticket(timely=0.2, deadline=0.4))
             except codes.Failure:
-                refused.append(loop.time() - began)
+                refused.append(loop.time() - started_at)
                 return
             await asyncio.sleep(0.01)
             queue.release()
-            times.append(loop.time() - began)
+            times.append(loop.time() - started_at)
 
         await asyncio.gather(*(run() for _ in range(300)))
         return refused, times, queue
--- a/tests/test_splitting.py
+++ b/tests/test_splitting.py
@@ -1,4 +1,4 @@
-"""Division of a route's requests by weight."""
+"""Division of a route's requests among its services by weight."""
 
 import collections
 import random
@@ -10,28 +10,29 @@
 
 
 def make(*shares):
-    parts = tuple(routes.Share(name, weight) for name, weight in shares)
-    return routes.Route("r", "h", "/", True, 1.0, 1.0, 0, 1, parts)
+    weighted = tuple(routes.Share(name, weight) for name, weight in shares)
+    return routes.Route("r", "h", "/", True, 1.0, 1.0, 0, 1, weighted)
 
 
 class TestSplitter:
     @pytest.mark.parametrize("weights", [(90, 10), (1, 1), (3, 0), (5, 3, 2)])
-    def test_parts_hold_after_few_requests(self, weights):
+    def test_shares_match_weights_after_few_requests(self, weights):
         route = make(*((f"s{i}", weight) for i, weight in enumerate(weights)))
         splitter = splitting.Splitter(random.Random(3))
         counts = collections.Counter(splitter.choose(route) for _ in range(60))
         for index, weight in enumerate(weights):
-            wanted = 60 * weight / sum(weights)
-            assert abs(counts[f"s{index}"] - wanted) <= 1.5
+            expected = 60 * weight / sum(weights)
+            assert abs(counts[f"s{index}"] - expected) <= 1.5
 
-    def test_a_weight_of_zero_gets_nothing(self):
+    def test_service_with_weight_zero_gets_no_requests(self):
         splitter = splitting.Splitter(random.Random(3))
         route = make(("a", 0), ("b", 1))
         assert {splitter.choose(route) for _ in range(100)} == {"b"}
 
-    # Guards against: credits of all configurations that ever were stay in memory.
-    def test_credits_of_older_configurations_are_bounded(self):
+    # Guards against a memory leak: each new configuration adds credits, and those of
+    # earlier configurations are never used again.
+    def test_credits_of_earlier_configurations_are_bounded(self):
         splitter = splitting.Splitter(random.Random(3))
-        for weight in range(1, 2 * splitting.KEPT):
+        for weight in range(1, 2 * splitting.MAX_SPLITS):
             splitter.choose(make(("a", weight), ("b", 7)))
-        assert len(splitter.credits) <= splitting.KEPT
+        assert len(splitter.credits) <= splitting.MAX_SPLITS
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,14 +1,11 @@
-"""An event loop whose clock moves only when nothing else is left to do."""
+"""An event loop with a virtual clock, which advances only when the loop is idle."""
 
 import asyncio
 import selectors
 
 
 class Selector(selectors.DefaultSelector):
-    """Skips the time for which a loop would sleep.
-
-    :param now: monotonic seconds of the loop that uses it.
-    """
+    """Advances the clock instead of sleeping; ``now`` is its time in seconds."""
 
     def __init__(self):
         super().__init__()
@@ -22,7 +19,7 @@
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """A loop for modules without network: waiting costs no time, and is exact."""
+    """An event loop for code without network: waiting takes no time and is exact."""
 
     def __init__(self):
         self.clock = Selector()
@@ -32,7 +29,7 @@
         return self.clock.now
 
 
-def run(work):
-    """Run a coroutine to its end."""
+def run(coroutine):
+    """Run a coroutine to completion in virtual time; return its result."""
     with asyncio.Runner(loop_factory=Loop) as runner:
-        return runner.run(work)
+        return runner.run(coroutine)
