--- a/rattanridge/kernel/__init__.py
+++ b/rattanridge/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""Kernel: settings, result codes, registries, clocks, logs, counters, snapshots."""
+"""Kernel: types and helpers that every other package may import."""
--- a/rattanridge/kernel/addresses.py
+++ b/rattanridge/kernel/addresses.py
@@ -1,6 +1,6 @@
-"""Addresses of processes: IP number and port."""
+"""Network addresses: IP address and port."""
 
 
 def join_host_port(host: str, port: int) -> str:
-    """Return ``host:port``; an IPv6 number is put into brackets."""
+    """Return ``host:port``, with an IPv6 address in brackets."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
--- a/rattanridge/kernel/clock.py
+++ b/rattanridge/kernel/clock.py
@@ -1,9 +1,12 @@
-"""The time that passes, also while the host is suspended."""
+"""A clock that also runs while the host is suspended."""
 
 import time
 
 
 def seconds_since_boot() -> float:
-    """Return seconds since the host's start. The loop's clock stands still while the
-    host is suspended; what other nodes may do meanwhile has to count."""
+    """Return the seconds since the host booted, including time spent suspended.
+
+    The event loop's clock stops during a suspension, while other nodes keep acting;
+    use this clock for limits that must include what they did in that time.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/rattanridge/kernel/codes.py
+++ b/rattanridge/kernel/codes.py
@@ -1,7 +1,7 @@
-"""Numbered result codes and the exceptions that carry them.
+"""Numbered result codes and the exception that carries them.
 
-A code never changes its number or meaning, and a number that was given up is not
-used again. The table in ``docs/CODES.md`` is printed by ``rattanridge codes``.
+A code never changes its number or meaning, and the number of a removed code is
+never reused. ``rattanridge codes`` prints the table of ``docs/CODES.md``.
 """
 
 import dataclasses
@@ -9,9 +9,9 @@
 
 
 class Execution(enum.StrEnum):
-    """What is known of the work that a request asked for.
+    """What is known about whether the requested work was executed.
 
-    ``NOT_RUN`` is said only where it is proved.
+    ``NOT_RUN`` is used only where it is proved.
     """
 
     NOT_RUN = "not-run"
@@ -23,12 +23,12 @@
 class Code:
     """One result code.
 
-    :param number: the number that operators search for; its thousands name the
+    :param number: the number that operators search for; the thousands digit is the
         group.
-    :param name: a short name, also the counter's name.
-    :param status: HTTP status of an answer that carries the code.
-    :param exit_code: exit status of a command that ends with the code.
-    :param meaning: one line for the table in the docs.
+    :param name: short name, also used in names of counters.
+    :param status: HTTP status of an answer with this code.
+    :param exit_code: exit status of a command that fails with this code.
+    :param meaning: one-line description for the documentation.
     """
 
     number: int
@@ -44,7 +44,7 @@
 def define(
     number: int, name: str, status: int, meaning: str, *, exit_code: int = 1
 ) -> Code:
-    """Add a code to the table; a number or name used twice is an error."""
+    """Add a code to the table; raise ``ValueError`` if its number or name is taken."""
     if number in TABLE or any(code.name == name for code in TABLE.values()):
         raise ValueError(f"code {number} {name} is defined twice")
     code = Code(number, name, status, exit_code, meaning)
@@ -53,13 +53,12 @@
 
 
 class Failure(Exception):
-    """An error with a code.
+    """An error with a numbered code.
 
-    :param code: the numbered code.
-    :param detail: what was wrong, for a person.
-    :param ran: for calls, whether the work is known to have run.
+    :param detail: human-readable description of what was wrong.
+    :param ran: for calls, whether the requested work was executed.
     :param where: file and line, or the path inside a document.
-    :param retry_after: seconds after which trying again makes sense.
+    :param retry_after: seconds after which a retry may succeed; 0 for no hint.
     """
 
     def __init__(
@@ -83,7 +82,7 @@
         return self.code.exit_code
 
     def format(self) -> str:
-        """Return one line for a terminal: place, number, name and detail."""
+        """Return one line for a terminal: location, number, name and detail."""
         prefix = f"{self.where}: " if self.where else ""
         suffix = f": {self.detail}" if self.detail else ""
         return f"{prefix}error {self.code.number} {self.code.name}{suffix}"
@@ -92,7 +91,7 @@
         return self.format()
 
 
-# 1xxx: settings, presets and other documents from people.
+# 1xxx: settings, presets and other documents written by people.
 BAD_YAML = define(1001, "bad-yaml", 400, "The document is not YAML", exit_code=2)
 DUPLICATE_KEY = define(
     1002, "duplicate-key", 400, "A mapping holds one key twice", exit_code=2
@@ -101,7 +100,7 @@
     1003,
     "bad-field",
     400,
-    "A field is unknown, missing, of a wrong type or out of range",
+    "A field is unknown, missing, of the wrong type or out of range",
     exit_code=2,
 )
 MISSING_SERVICE = define(
@@ -123,12 +122,15 @@
     exit_code=2,
 )
 CANNOT_LISTEN = define(
-    1008, "cannot-listen", 500, "A port of the settings cannot be listened on"
+    1008, "cannot-listen", 500, "The node cannot listen on a port of its settings"
 )
 
 # 2xxx: the platform's object API.
 PLATFORM_DOWN = define(
-    2001, "platform-down", 503, "The platform did not answer; nothing is known"
+    2001,
+    "platform-down",
+    503,
+    "The platform did not answer; the outcome of the call is unknown",
 )
 PLATFORM_CONFLICT = define(
     2002, "platform-conflict", 409, "The object's version is not the expected one"
@@ -139,15 +141,18 @@
     2005, "platform-refused", 502, "The platform refused the call"
 )
 WATCH_LOST = define(
-    2006, "watch-lost", 410, "The watch fell too far behind and must list again"
+    2006,
+    "watch-lost",
+    410,
+    "The watch fell too far behind; all objects must be listed again",
 )
 
-# 3xxx: nodes among themselves.
+# 3xxx: calls between nodes.
 NODE_LOST = define(
-    3008, "node-lost", 503, "The node does not answer, so nothing is known of it"
+    3008, "node-lost", 503, "The node does not answer, so its state is unknown"
 )
 
-# 4xxx: requests that callers send wrongly, refused before any work.
+# 4xxx: invalid requests of callers, refused before any work.
 NO_ROUTE = define(4001, "no-route", 404, "No route of the preset matches the request")
 BAD_REQUEST = define(4002, "bad-request", 400, "The request cannot be read")
 HEADERS_TOO_LARGE = define(
@@ -158,55 +163,60 @@
 )
 BODY_CUT = define(4005, "body-cut", 400, "The request's body ended too early")
 HOP_REFUSED = define(
-    4006, "hop-refused", 403, "A node-to-node call did not prove the shared key"
+    4006, "hop-refused", 403, "A node-to-node call has no valid proof of the shared key"
 )
 
-# 5xxx: calls.
+# 5xxx: calls to services.
 NOT_READY = define(5001, "not-ready", 503, "The node has no configuration yet")
 NO_ENDPOINT = define(5002, "no-endpoint", 503, "No endpoint of the service is usable")
 QUEUE_FULL = define(5003, "queue-full", 503, "The endpoint's queue is full")
 DEADLINE = define(5005, "deadline", 504, "The deadline passed while the work ran")
-CONNECT_FAILED = define(5006, "connect-failed", 503, "The upstream took no connection")
+CONNECT_FAILED = define(
+    5006, "connect-failed", 503, "The upstream accepted no connection"
+)
 UPSTREAM_FAILED = define(
-    5007, "upstream-failed", 502, "The upstream broke off before an answer"
+    5007, "upstream-failed", 502, "The upstream aborted the call before it answered"
 )
 ANSWER_CUT = define(5008, "answer-cut", 502, "The upstream's answer ended too early")
 DRAINING = define(5009, "draining", 503, "The endpoint is leaving")
-SHEDDING = define(5010, "shedding", 503, "The upstream said that it sheds load")
+SHEDDING = define(5010, "shedding", 503, "The upstream is shedding load")
 STOPPING = define(5011, "stopping", 503, "The node is stopping")
 PEER_FAILED = define(
-    5012, "peer-failed", 502, "The node beside the upstream broke off the call"
+    5012, "peer-failed", 502, "The upstream's local node aborted the call"
 )
 QUARANTINED = define(
-    5013, "quarantined", 503, "The request crashed upstreams before and is held back"
+    5013, "quarantined", 503, "The request crashed upstreams before and is quarantined"
 )
 RETRY_BUDGET = define(
     5014, "retry-budget", 503, "The service's retry budget is used up"
 )
 WRONG_ENDPOINT = define(
-    5015, "wrong-endpoint", 503, "The endpoint is not beside this node (any more)"
+    5015, "wrong-endpoint", 503, "The endpoint is not, or no longer, local to this node"
 )
 ALREADY_ACCEPTED = define(
-    5017, "already-accepted", 409, "The same request was accepted; outcome unknown"
+    5017,
+    "already-accepted",
+    409,
+    "The same request was already accepted; its outcome is unknown",
 )
 KEY_CONFLICT = define(
-    5020, "key-conflict", 409, "The same key was used for another request"
+    5020, "key-conflict", 409, "The idempotency key was used for another request"
 )
 CLAIM_UNCHECKED = define(
     5021,
     "claim-unchecked",
     503,
-    "Claims cannot be read: this sending did not run, an earlier one may have",
+    "Claims cannot be read: this attempt did not run, an earlier one may have",
 )
 
 PEER_UNREACHABLE = define(
     5030,
     "peer-unreachable",
     503,
-    "The node beside the upstream took no connection; nothing was sent",
+    "The upstream's local node accepted no connection; nothing was sent",
 )
 MEMORY_FULL = define(
-    5031, "memory-full", 503, "The node holds too many bytes of bodies already"
+    5031, "memory-full", 503, "The node's memory limit for bodies is reached"
 )
 INTERNAL = define(5034, "internal", 500, "The node itself failed; see its log")
 
@@ -244,8 +254,8 @@
     7009, "no-operation", 404, "The administration API has no such path"
 )
 WRONG_METHOD = define(
-    7010, "wrong-method", 405, "The administration path does not take this method"
+    7010, "wrong-method", 405, "The administration path does not allow this method"
 )
 ADMIN_BUSY = define(
-    7011, "admin-busy", 503, "Too many administration requests run at this node"
+    7011, "admin-busy", 503, "Too many administration requests are running on this node"
 )
--- a/rattanridge/kernel/compression.py
+++ b/rattanridge/kernel/compression.py
@@ -1,27 +1,32 @@
-"""Documents in compressed form, as nodes send them to one another."""
+"""Compression of the documents that nodes exchange."""
 
 import zlib
 
 from rattanridge.kernel import codes
 
-LEVEL = 1  # the fastest; configurations repeat themselves enough for it
+LEVEL = 1  # fastest; enough because configurations are repetitive
 
 
 def compress(data: bytes) -> bytes:
-    """Return a document compressed."""
+    """Return the data compressed with zlib."""
     return zlib.compress(data, LEVEL)
 
 
 def decompress(data: bytes, limit: int) -> bytes:
-    """Return a document that was compressed.
+    """Return decompressed data.
 
-    Raises ``bad-field`` if it is unreadable, cut, or longer than ``limit`` bytes.
+    Raise ``bad-field`` if the data is unreadable or truncated, or if the result is
+    longer than ``limit`` bytes.
     """
-    reader = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        found = reader.decompress(data, limit)
+        document = decompressor.decompress(data, limit)
     except zlib.error as error:
-        raise codes.Failure(codes.BAD_FIELD, str(error), where="packed document")
-    if not reader.eof:
-        raise codes.Failure(codes.BAD_FIELD, "cut or too long", where="packed document")
-    return found
+        raise codes.Failure(codes.BAD_FIELD, str(error), where="compressed document")
+    if not decompressor.eof:
+        raise codes.Failure(
+            codes.BAD_FIELD,
+            f"truncated, or longer than {limit} bytes",
+            where="compressed document",
+        )
+    return document
--- a/rattanridge/kernel/documents.py
+++ b/rattanridge/kernel/documents.py
@@ -1,4 +1,4 @@
-"""YAML documents from people, decoded into typed classes with coded errors."""
+"""Decoding of YAML documents into typed classes, with coded errors and line numbers."""
 
 import pathlib
 import re
@@ -11,7 +11,7 @@
 
 T = typing.TypeVar("T")
 
-# The one on libyaml is ten times as fast; a node must not stand still meanwhile.
+# The libyaml loader is ten times as fast; parsing must not block a node for long.
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 
 MAX_DOCUMENT_BYTES = 1_000_000
@@ -30,28 +30,35 @@
 
 
 def read(path: str) -> str:
-    """Return a file's text; raise a coded failure if it can't be read."""
+    """Return a file's text; raise a ``codes.Failure`` if it cannot be read."""
     try:
         data = pathlib.Path(path).read_bytes()
     except OSError as error:
         raise codes.Failure(codes.NO_FILE, error.strerror or "", where=path)
     if len(data) > MAX_DOCUMENT_BYTES:
-        raise codes.Failure(codes.TOO_LARGE, f"{len(data)} bytes", where=path)
+        raise codes.Failure(
+            codes.TOO_LARGE,
+            f"{len(data)} bytes; the limit is {MAX_DOCUMENT_BYTES}",
+            where=path,
+        )
     try:
         return data.decode()
     except UnicodeDecodeError as error:
         raise codes.Failure(codes.BAD_YAML, str(error), where=path)
 
 
-def decode(text: str, kind: type[T], where: str = "document") -> T:
-    """Decode YAML text into a class.
+def decode(text: str, target_type: type[T], where: str = "document") -> T:
+    """Decode YAML text; raise a ``codes.Failure`` with the line if it is invalid.
 
-    :param text: the document.
-    :param kind: a ``msgspec.Struct`` class that forbids unknown fields.
-    :param where: the document's name for error messages.
+    :param target_type: usually a ``msgspec.Struct`` that forbids unknown fields.
+    :param where: name of the document for error messages.
     """
     if len(text) > MAX_DOCUMENT_BYTES:
-        raise codes.Failure(codes.TOO_LARGE, f"{len(text)} characters", where=where)
+        raise codes.Failure(
+            codes.TOO_LARGE,
+            f"{len(text)} characters; the limit is {MAX_DOCUMENT_BYTES}",
+            where=where,
+        )
     try:
         loader = Loader(text)
         root = loader.get_single_node()
@@ -59,66 +66,69 @@
         value = loader.construct_document(root) if root is not None else None
     except CONSTRUCTION_ERRORS as error:
         mark = getattr(error, "problem_mark", None)
-        place = f"{where}:{mark.line + 1}" if mark else where
+        location = f"{where}:{mark.line + 1}" if mark else where
         detail = getattr(error, "problem", None) or str(error) or "nested too deeply"
-        raise codes.Failure(codes.BAD_YAML, detail, where=place)
-    return convert(value, kind, where, root)
+        raise codes.Failure(codes.BAD_YAML, detail, where=location)
+    return convert(value, target_type, where, root)
 
 
 def convert(
-    value: object, kind: type[T], where: str = "document", root: object = None
+    value: object, target_type: type[T], where: str = "document", root: object = None
 ) -> T:
-    """Convert plain data into a class; errors name the path and line."""
+    """Convert plain data to a type; raise ``bad-field`` with the path and line.
+
+    :param root: YAML node of the value, which gives the line; None for no line.
+    """
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, target_type)
     except msgspec.ValidationError as error:
         detail, _, path = str(error).partition(" - at `")
         path = path.rstrip("`")
         unknown = UNKNOWN_FIELD.match(detail)
         line = find_line(root, f"{path or '$'}.{unknown[1]}" if unknown else path)
-        place = f"{where}:{line}" if line else where
-        shown = f"{detail} at {path}" if path else detail
-        raise codes.Failure(codes.BAD_FIELD, shown, where=place)
+        location = f"{where}:{line}" if line else where
+        message = f"{detail} at {path}" if path else detail
+        raise codes.Failure(codes.BAD_FIELD, message, where=location)
 
 
 def check_nodes(root: object, where: str) -> None:
-    """Refuse a key that stands twice, deep nesting, and aliases.
+    """Raise on duplicate keys, on deep nesting, and on aliases.
 
-    A few aliases of aliases would stand for more values than memory holds.
+    A few nested aliases can expand to more values than fit into memory.
     """
     seen: set[int] = set()
-    waiting = [(root, 0)]
-    while waiting:
-        node, depth = waiting.pop()
+    pending = [(root, 0)]
+    while pending:
+        node, depth = pending.pop()
         if not isinstance(node, yaml.Node):
             continue
-        place = f"{where}:{node.start_mark.line + 1}"
+        location = f"{where}:{node.start_mark.line + 1}"
         if id(node) in seen:
-            raise codes.Failure(codes.BAD_YAML, "aliases are refused", where=place)
+            raise codes.Failure(codes.BAD_YAML, "aliases are refused", where=location)
         seen.add(id(node))
         if depth > MAX_DEPTH:
-            raise codes.Failure(codes.BAD_YAML, "nested too deeply", where=place)
+            raise codes.Failure(codes.BAD_YAML, "nested too deeply", where=location)
         if isinstance(node, yaml.MappingNode):
             check_keys(node, where)
-            parts = [part for pair in node.value for part in pair]
+            children = [child for pair in node.value for child in pair]
         else:
-            parts = node.value if isinstance(node, yaml.SequenceNode) else []
-        waiting.extend((part, depth + 1) for part in parts)
+            children = node.value if isinstance(node, yaml.SequenceNode) else []
+        pending.extend((child, depth + 1) for child in children)
 
 
 def check_keys(node: yaml.MappingNode, where: str) -> None:
-    """Refuse a mapping that holds one key twice."""
+    """Raise ``duplicate-key`` if a mapping contains the same key twice."""
     seen: set[str] = set()
     for key, _ in node.value:
         name = str(key.value)
         if name in seen:
-            place = f"{where}:{key.start_mark.line + 1}"
-            raise codes.Failure(codes.DUPLICATE_KEY, name, where=place)
+            location = f"{where}:{key.start_mark.line + 1}"
+            raise codes.Failure(codes.DUPLICATE_KEY, name, where=location)
         seen.add(name)
 
 
 def add_line_number(failure: codes.Failure, text: str, where: str) -> codes.Failure:
-    """Add the line to a failure whose place is ``where: path``."""
+    """Add the line number to a failure whose location is ``where: path``."""
     path = failure.where.removeprefix(f"{where}: ")
     if path != failure.where:
         line = find_line(Loader(text).get_single_node(), f"$.{path}")
@@ -127,7 +137,10 @@
 
 
 def find_line(root: object, path: str) -> int:
-    """Return the line of the deepest node on a path like ``$.routes[0].timeout``."""
+    """Return the line of the deepest existing node on a path; 0 if there is none.
+
+    :param path: like ``$.routes[0].timeout``.
+    """
     node = root
     for name, index in PATH_STEP.findall(path):
         child = None
--- a/rattanridge/kernel/hashing.py
+++ b/rattanridge/kernel/hashing.py
@@ -1,12 +1,14 @@
-"""Hashes by which a request is known again."""
+"""Hashes that identify repeated requests."""
 
 import hashlib
 
 
 def hash_parts(*parts: bytes, size: int) -> str:
-    """Return one hash over parts, whose borders count.
+    """Return the hexadecimal hash of a sequence of parts.
 
-    :param size: bytes of the hash; it has twice as many hexadecimal digits.
+    The hash includes each part's length, so ``ab, c`` and ``a, bc`` differ.
+
+    :param size: bytes of the hash; the result has twice as many digits.
     """
     state = hashlib.blake2b(digest_size=size)
     for part in parts:
--- a/rattanridge/kernel/log.py
+++ b/rattanridge/kernel/log.py
@@ -1,11 +1,13 @@
-"""Logs: one line of key=value pairs for each event, through logbook."""
+"""Event log: writes each event as one line of key=value pairs, through logbook."""
 
 import json
 import sys
 
 import logbook
 
-PLAIN = set("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-/:+,@")
+UNQUOTED_CHARACTERS = set(
+    "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-/:+,@"
+)
 FORMAT = (
     "time={record.time:%Y-%m-%dT%H:%M:%S.%fZ} level={record.level_name} "
     "{record.message}"
@@ -13,9 +15,9 @@
 
 
 def quote(value: object) -> str:
-    """Return the value as one token; anything unusual becomes a JSON string."""
+    """Return a value as one token; quote it as JSON if it has special characters."""
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    if text and PLAIN.issuperset(text):
+    if text and UNQUOTED_CHARACTERS.issuperset(text):
         return text
     return json.dumps(text)
 
@@ -28,33 +30,33 @@
 
 
 class Log:
-    """Writes events of one part of the system.
+    """Event log of one part of the system.
 
-    :param part: the part's name, a pair on each line.
-    :param node: the node's name, if any.
+    :param part: name of the part, written on each line.
+    :param node: name of the node, written on each line unless empty.
     """
 
     def __init__(self, part: str, node: str = ""):
         self.logger = logbook.Logger(part)
-        self.fixed = {"part": part, "node": node} if node else {"part": part}
+        self.common_fields = {"part": part, "node": node} if node else {"part": part}
 
     def log(self, level: str, event: str, **fields: object) -> None:
-        """Write an event at the level of that name."""
+        """Write an event at the level with the given name."""
         number = logbook.lookup_level(level.upper())
-        self.logger.log(number, pairs(event, self.fixed | fields))
+        self.logger.log(number, pairs(event, self.common_fields | fields))
 
     def debug(self, event: str, **fields: object) -> None:
         if self.logger.level <= logbook.DEBUG:
-            self.logger.debug(pairs(event, self.fixed | fields))
+            self.logger.debug(pairs(event, self.common_fields | fields))
 
     def info(self, event: str, **fields: object) -> None:
-        self.logger.info(pairs(event, self.fixed | fields))
+        self.logger.info(pairs(event, self.common_fields | fields))
 
     def warn(self, event: str, **fields: object) -> None:
-        self.logger.warning(pairs(event, self.fixed | fields))
+        self.logger.warning(pairs(event, self.common_fields | fields))
 
     def error(self, event: str, **fields: object) -> None:
-        self.logger.error(pairs(event, self.fixed | fields))
+        self.logger.error(pairs(event, self.common_fields | fields))
 
 
 def configure(level: str = "info") -> None:
--- a/rattanridge/kernel/presets.py
+++ b/rattanridge/kernel/presets.py
@@ -1,4 +1,4 @@
-"""Presets: routes and services that operators put in force together."""
+"""Presets: named sets of routes and services that operators put in force."""
 
 import typing
 
@@ -16,16 +16,17 @@
 Method = typing.Annotated[str, msgspec.Meta(pattern=r"^([A-Z]{1,16}|\*)$")]
 Attempts = typing.Annotated[int, msgspec.Meta(ge=1, le=10)]
 
-PRIORITIES = ("high", "normal", "low")  # by rank
+PRIORITIES = ("high", "normal", "low")  # highest first; the index is the rank
 ANY_METHOD = "*"
-TARGET_SHARE = 0.5  # of the timeout: the target latency of a route without one
+# Target latency of a route that sets none, as a fraction of its timeout.
+DEFAULT_TARGET_RATIO = 0.5
 
 
 class Service(settings.Struct):
-    """A service that routes lead to.
+    """A service that routes send requests to.
 
     :param health_path: path of its health check.
-    :param connections: connections that one endpoint takes.
+    :param connections: maximum number of connections to one endpoint.
     """
 
     health_path: Prefix = "/healthz"
@@ -33,20 +34,20 @@
 
 
 class Route(settings.Struct, kw_only=True):
-    """Which requests go to which service, and how.
+    """A rule that sends matching requests to a service.
 
     :param host: exact host name in lower case, or ``*``.
-    :param prefix: path prefix; it ends at a slash or at the path's end.
-    :param methods: HTTP methods, or ``["*"]``.
-    :param service: the service that answers.
-    :param idempotent: whether the work may run more than once.
+    :param prefix: path prefix; matches only up to a slash or the end of the path.
+    :param methods: HTTP methods, or ``["*"]`` for all.
+    :param service: the service that gets the requests.
+    :param idempotent: whether a request may safely run more than once.
     :param priority: ``high``, ``normal`` or ``low``.
-    :param timeout: seconds within which a caller is answered.
-    :param target: seconds within which an answer is timely; 0 takes a part of
-        the timeout.
-    :param attempts: endpoints that one request may be sent to.
-    :param key: idempotency-key source, for work that must run at most once
-        however often its caller sends it.
+    :param timeout: longest time in seconds until a caller is answered.
+    :param target: seconds within which an answer counts as timely; 0 for
+        ``DEFAULT_TARGET_RATIO`` times the timeout.
+    :param attempts: maximum number of endpoints that one request is sent to.
+    :param key: source of the idempotency key, for work that must run at most once
+        even if the caller sends the request again.
     """
 
     host: Host = routes.ANY_HOST
@@ -64,7 +65,7 @@
 
 
 class Preset(settings.Struct, kw_only=True):
-    """One preset's content; revisions of it never change."""
+    """Content of one revision of a preset; a revision never changes."""
 
     name: settings.Name
     services: typing.Annotated[dict[settings.Name, Service], msgspec.Meta(min_length=1)]
@@ -72,64 +73,67 @@
 
 
 def load(path: str) -> Preset:
-    """Read and check a preset file."""
+    """Read and validate a preset file."""
     return parse(documents.read(path), path)
 
 
 def parse(text: str, where: str = "preset") -> Preset:
-    """Decode and check a preset given as YAML text."""
+    """Decode and validate the YAML text of a preset."""
     preset = documents.decode(text, Preset, where)
     try:
-        check(preset, where)
+        validate(preset, where)
     except codes.Failure as failure:
         raise documents.add_line_number(failure, text, where)
     return preset
 
 
-def check(preset: Preset, where: str = "preset") -> None:
-    """Refuse what types can't say: routes to missing services, unknown key
-    sources, and two routes that match the same requests."""
+def validate(preset: Preset, where: str = "preset") -> None:
+    """Raise on errors that field types do not catch.
+
+    These are routes to undefined services, invalid key sources, and two routes that
+    match the same requests.
+    """
     seen: set[tuple[str, str, str]] = set()
     for index, route in enumerate(preset.routes):
-        place = f"{where}: routes[{index}]"
+        location = f"{where}: routes[{index}]"
         if route.service not in preset.services:
-            raise codes.Failure(codes.MISSING_SERVICE, route.service, where=place)
-        check_key(route.key, place)
+            raise codes.Failure(codes.MISSING_SERVICE, route.service, where=location)
+        check_key(route.key, location)
         for method in route.methods:
             match = (route.host, route.prefix.rstrip("/"), method)
             if match in seen:
                 detail = f"{method} {route.host}{route.prefix}"
-                raise codes.Failure(codes.DUPLICATE_ROUTE, detail, where=place)
+                raise codes.Failure(codes.DUPLICATE_ROUTE, detail, where=location)
             seen.add(match)
 
 
-def check_key(key: routes.KeySource | None, place: str) -> None:
-    """Refuse a key source that is not registered or lacks the name it reads."""
+def check_key(key: routes.KeySource | None, location: str) -> None:
+    """Raise if a key source is not registered or has no header or field name."""
     if key is None:
         return
     try:
         routes.KEY_SOURCES.get(key.source)
     except KeyError as error:
-        raise codes.Failure(codes.BAD_FIELD, str(error.args[0]), where=place)
+        raise codes.Failure(codes.BAD_FIELD, str(error.args[0]), where=location)
     if not key.name:
         detail = f"key source {key.source!r} needs a name"
-        raise codes.Failure(codes.BAD_FIELD, detail, where=place)
+        raise codes.Failure(codes.BAD_FIELD, detail, where=location)
 
 
 def make_configuration(preset: Preset, version: int) -> routes.Configuration:
-    """Return the configuration that puts a preset in force."""
+    """Return a preset as a configuration with the given version."""
     services = {
         name: routes.Service(name, item.health_path, item.connections)
         for name, item in preset.services.items()
     }
-    found = [
+    converted = [
         make_route(f"r{index:05}", item) for index, item in enumerate(preset.routes)
     ]
-    return routes.Configuration(version, routes.group_by_host(found), services)
+    return routes.Configuration(version, routes.group_by_host(converted), services)
 
 
 def make_route(name: str, item: Route) -> routes.Route:
-    """Return a preset's route as nodes know it."""
+    """Return a preset's route as a route of a configuration."""
     methods = frozenset() if ANY_METHOD in item.methods else frozenset(item.methods)
     return routes.Route(
         name=name,
@@ -137,7 +141,7 @@
         prefix=item.prefix.rstrip("/") + "/",
         idempotent=item.idempotent,
         timeout=item.timeout,
-        target_latency=item.target or TARGET_SHARE * item.timeout,
+        target_latency=item.target or DEFAULT_TARGET_RATIO * item.timeout,
         priority=PRIORITIES.index(item.priority),
         attempts=item.attempts,
         shares=(routes.Share(item.service, 1),),
--- a/rattanridge/kernel/registry.py
+++ b/rattanridge/kernel/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, for behaviour that varies."""
+"""Registries of interchangeable implementations, filled by decorators."""
 
 import collections.abc
 import importlib
@@ -20,7 +20,7 @@
         self.items: dict[str, T] = {}
 
     def register(self, name: str) -> collections.abc.Callable[[T], T]:
-        """Return a decorator that adds its subject under ``name``."""
+        """Return a decorator that registers its argument under ``name``."""
 
         def decorator(item: T) -> T:
             if name in self.items:
@@ -31,7 +31,7 @@
         return decorator
 
     def get(self, name: str) -> T:
-        """Return the plug-in; an unknown name raises ``KeyError`` with the choices."""
+        """Return a plug-in; raise ``KeyError`` listing the known names if unknown."""
         if name not in self.items:
             choices = ", ".join(sorted(self.items))
             raise KeyError(f"unknown {self.kind} {name!r}; known: {choices}")
@@ -42,6 +42,6 @@
 
 
 def load_plugins(package: types.ModuleType) -> None:
-    """Import every module of a package, so that its plug-ins register themselves."""
+    """Import all modules of a package, so that their plug-ins are registered."""
     for module in pkgutil.iter_modules(package.__path__):
         importlib.import_module(f"{package.__name__}.{module.name}")
--- a/rattanridge/kernel/routes.py
+++ b/rattanridge/kernel/routes.py
@@ -1,4 +1,4 @@
-"""The configuration in force: routes, services and limits, whole and immutable."""
+"""The configuration of the mesh as immutable data: routes, services and limits."""
 
 import dataclasses
 
@@ -6,7 +6,7 @@
 
 from rattanridge.kernel import registry
 
-# Filled by the plug-ins of ``policies``; each reads a request's idempotency key.
+# Plug-ins of ``policies`` that extract a request's idempotency key.
 KEY_SOURCES: registry.Registry[type] = registry.Registry("key source")
 ANY_HOST = "*"
 
@@ -15,7 +15,7 @@
     """Where a request's idempotency key comes from.
 
     :param source: name of a registered key source.
-    :param name: header or JSON field that the source reads.
+    :param name: header or JSON field that contains the key.
     """
 
     source: str
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Share:
-    """One service of a route with the weight of its part of the requests."""
+    """One service of a route, with its weight in the traffic split."""
 
     service: str
     weight: int
@@ -32,20 +32,21 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Route:
-    """Where the requests of one host and path prefix go.
+    """Rules for the requests to one host and path prefix.
 
     :param name: the operator's name of the route.
-    :param host: lower-case host without a port, or ``*`` for any.
-    :param prefix: begins and ends with a slash.
-    :param idempotent: whether its requests may run more than once.
-    :param timeout: seconds that a request is kept waiting at most.
-    :param target_latency: seconds within which an answer is timely.
-    :param priority: rank of its requests; 0 comes first.
-    :param attempts: endpoints that one request may be sent to.
-    :param shares: services and their weights; one or more.
-    :param methods: HTTP methods that it takes; empty for any.
-    :param bare: whether it takes the prefix without its last slash, too.
-    :param key: what makes two sendings the same request, if that is to be known.
+    :param host: host name in lower case without a port, or ``*`` for any host.
+    :param prefix: path prefix that begins and ends with a slash.
+    :param idempotent: whether a request may safely run more than once.
+    :param timeout: longest time in seconds until a request is answered.
+    :param target_latency: seconds within which an answer counts as timely.
+    :param priority: priority of its requests; 0 is the highest.
+    :param attempts: maximum number of endpoints that one request is sent to.
+    :param shares: one or more services and their weights.
+    :param methods: HTTP methods that match; empty for all.
+    :param bare: whether the prefix without its trailing slash matches, too.
+    :param key: source of the idempotency key that identifies repeated requests;
+        None if the route uses no keys.
     """
 
     name: str
@@ -62,7 +63,7 @@
     key: KeySource | None = None
 
     def matches(self, path: str, method: str) -> bool:
-        """Whether a request is the route's."""
+        """Return whether a request's path and method match the route."""
         if self.methods and method not in self.methods:
             return False
         if path.startswith(self.prefix):
@@ -72,10 +73,10 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Service:
-    """A service that routes lead to.
+    """A service that routes send requests to.
 
     :param health_path: path of its health check.
-    :param connections: connections that one endpoint takes.
+    :param connections: maximum number of connections to one endpoint.
     """
 
     name: str
@@ -85,7 +86,7 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Limits:
-    """Bounds on callers: sizes in bytes, times in seconds."""
+    """Limits on callers: sizes in bytes, times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 67_108_864
@@ -97,8 +98,8 @@
 class Configuration:
     """One version of the configuration.
 
-    :param version: grows with each version, not always by one.
-    :param routes: routes by host, the longest prefix first.
+    :param version: increases with each version, not always by one.
+    :param routes: routes by host, with the longest prefix first.
     """
 
     version: int
@@ -107,8 +108,10 @@
     limits: Limits = Limits()
 
     def match(self, host: str, path: str, method: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path; one for
-        the very host comes before one for any."""
+        """Return the matching route with the longest prefix; None without a match.
+
+        A route for the exact host takes precedence over one for any host.
+        """
         for name in (host, ANY_HOST):
             for route in self.routes.get(name, ()):
                 if route.matches(path, method):
@@ -117,7 +120,7 @@
 
 
 def group_by_host(routes: list[Route]) -> dict[str, tuple[Route, ...]]:
-    """Group routes by host and order each group by falling prefix length."""
+    """Group routes by host; sort each group by prefix length, longest first."""
     groups: dict[str, list[Route]] = {}
     for route in routes:
         groups.setdefault(route.host, []).append(route)
--- a/rattanridge/kernel/settings.py
+++ b/rattanridge/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Types of fields that settings, presets and requests of operators share."""
+"""Field types and checks shared by settings, presets and operators' requests."""
 
 import re
 import typing
@@ -17,7 +17,7 @@
 
 
 class Struct(msgspec.Struct, forbid_unknown_fields=True):
-    """Base of settings classes: slots, and no unknown keys."""
+    """Base class of settings; unknown keys are errors."""
 
 
 class Token(Struct, kw_only=True):
@@ -29,28 +29,32 @@
 
 
 def check_word(text: str, path: str, where: str) -> None:
-    """Refuse a name that could not stand as one word in a log line."""
+    """Raise if a name has a space or a character that breaks a log line."""
     if not text.isprintable() or " " in text:
-        raise_bad_field(where, path, f"{text!r} is not one word")
+        raise_bad_field(
+            where, path, f"{text!r} contains a space or a non-printable character"
+        )
 
 
 def check_address(address: str, path: str, where: str) -> None:
-    """Refuse what is not an IP number with a port; an empty one is left out."""
+    """Raise unless an address is empty or an IP address with a port."""
     if address and not HOST_PORT.fullmatch(address):
-        raise_bad_field(where, path, f"{address!r} is not an IP number with a port")
+        raise_bad_field(where, path, f"{address!r} is not an IP address with a port")
 
 
 def check_tokens(tokens: list[Token], where: str) -> None:
-    """Refuse tokens with one name or one secret."""
+    """Raise if two tokens have the same name or the same secret."""
     names: set[str] = set()
     secrets: set[str] = set()
     for index, token in enumerate(tokens):
         if token.name in names or token.secret in secrets:
-            raise_bad_field(where, f"tokens[{index}]", "a name or secret stands twice")
+            raise_bad_field(
+                where, f"tokens[{index}]", "another token has the same name or secret"
+            )
         names.add(token.name)
         secrets.add(token.secret)
 
 
 def raise_bad_field(where: str, path: str, detail: str) -> typing.NoReturn:
-    """Raise the failure of one field."""
+    """Raise ``bad-field`` for the field at ``path``."""
     raise codes.Failure(codes.BAD_FIELD, detail, where=f"{where}: {path}")
--- a/rattanridge/kernel/sink.py
+++ b/rattanridge/kernel/sink.py
@@ -1,4 +1,4 @@
-"""Where log lines go: standard output, bounded in rate and never blocking."""
+"""Non-blocking output of log lines, and the rate limit for events."""
 
 import collections
 import os
@@ -7,15 +7,15 @@
 
 from rattanridge.kernel import log
 
-FLUSH_INTERVAL = 0.2  # seconds between two writes
-KEPT_BYTES = 262_144  # of lines that wait for a reader; the oldest go first
-REPORT_INTERVAL = 5.0  # seconds between two lines on what was held back
+FLUSH_INTERVAL = 0.2  # seconds between writes
+BUFFER_BYTES = 262_144  # of unwritten lines; the oldest are dropped first
+REPORT_INTERVAL = 5.0  # seconds between reports of suppressed lines
 
 
 class RateLimiter:
-    """Lets a number of lines of each kind of event pass in a second.
+    """Limits the lines per second for each event name, with a token bucket.
 
-    :param rate: lines a second, and the most at once.
+    :param rate: lines per second, and the size of a burst.
     """
 
     def __init__(self, rate: float):
@@ -24,19 +24,19 @@
         self.suppressed: collections.Counter[str] = collections.Counter()
 
     def allow(self, event: str, now: float) -> bool:
-        """Whether one more line of an event may be written."""
-        left, at = self.tokens.get(event, (self.rate, now))
-        left = min(left + (now - at) * self.rate, self.rate)
-        if left < 1.0:
-            self.tokens[event] = (left, now)
+        """Return whether one more line of an event may be written at ``now``."""
+        tokens, updated_at = self.tokens.get(event, (self.rate, now))
+        tokens = min(tokens + (now - updated_at) * self.rate, self.rate)
+        if tokens < 1.0:
+            self.tokens[event] = (tokens, now)
             self.suppressed[event] += 1
             return False
-        self.tokens[event] = (left - 1.0, now)
+        self.tokens[event] = (tokens - 1.0, now)
         return True
 
 
 class Sink(logbook.Handler):
-    """Collects lines and writes them together.
+    """Log handler that buffers lines and writes them without blocking.
 
     :param descriptor: file descriptor to write to.
     """
@@ -47,24 +47,25 @@
         self.descriptor = descriptor
         self.lines: collections.deque[bytes] = collections.deque()
         self.size = 0
-        # Whether the oldest line was written in part.
-        self.begun = False
+        # Whether part of the oldest line was already written.
+        self.partly_written = False
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Take one line; drop the oldest ones if nobody reads them."""
+        """Buffer one line; drop the oldest lines if the buffer is full."""
         line = self.format(record).encode("utf-8", "replace") + b"\n"
         self.lines.append(line)
         self.size += len(line)
-        oldest = int(self.begun)
-        while self.size > KEPT_BYTES and len(self.lines) > oldest:
+        # Keep a partly written line: its rest must follow.
+        oldest = int(self.partly_written)
+        while self.size > BUFFER_BYTES and len(self.lines) > oldest:
             self.size -= len(self.lines[oldest])
             del self.lines[oldest]
             self.dropped += 1
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as many of the buffered lines as the descriptor accepts."""
         if not self.lines:
             return
         try:
@@ -72,20 +73,20 @@
         except BlockingIOError:
             return
         except OSError:
-            # The reader is gone for good; the lines have nowhere to go.
+            # The reader has closed the pipe for good: drop all lines.
             written = self.size
             self.dropped += len(self.lines)
-        self.forget(written)
+        self.remove_written(written)
 
-    def forget(self, written: int) -> None:
-        """Remove what was written; the last line of it perhaps only in part."""
+    def remove_written(self, written: int) -> None:
+        """Remove the first ``written`` bytes, which may end within a line."""
         self.size -= written
         while self.lines and written >= len(self.lines[0]):
             written -= len(self.lines.popleft())
-            self.begun = False
+            self.partly_written = False
         if written:
             self.lines[0] = self.lines[0][written:]
-            self.begun = True
+            self.partly_written = True
 
 
 def configure(level: str = "info") -> Sink:
--- a/rattanridge/kernel/untrusted_json.py
+++ b/rattanridge/kernel/untrusted_json.py
@@ -1,4 +1,4 @@
-"""JSON from other programs, which may be anything."""
+"""Decoding of JSON from sources that may send anything."""
 
 import typing
 
@@ -7,9 +7,9 @@
 T = typing.TypeVar("T")
 
 
-def decode_or_none(data: bytes, kind: type[T]) -> T | None:
-    """Decode JSON into a type; None if it is unreadable."""
+def decode_or_none(data: bytes, target_type: type[T]) -> T | None:
+    """Return JSON decoded into a type; None if it is malformed or does not match."""
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=target_type)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
         return None
--- a/rattanridge/platform/__init__.py
+++ b/rattanridge/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls. It decides nothing."""
+"""Adapter to the platform: wire names, formats and API calls, without policy."""
--- a/rattanridge/platform/configs.py
+++ b/rattanridge/platform/configs.py
@@ -1,4 +1,4 @@
-"""The operator's configuration on the wire, and the kernel's types for it."""
+"""Wire format of the configuration, and its conversion to the kernel's types."""
 
 import msgspec
 
@@ -7,23 +7,23 @@
 KIND = "config"
 NAME = "main"
 IDEMPOTENT_KIND = "safe"
-ONCE_KIND = "unsafe"
-KINDS = (IDEMPOTENT_KIND, ONCE_KIND)
+NON_IDEMPOTENT_KIND = "unsafe"
+KINDS = (IDEMPOTENT_KIND, NON_IDEMPOTENT_KIND)
 VERSION_BASE = 16
-DEFAULT_TIMEOUT_MS = 10_000.0  # for a route that names none
+DEFAULT_TIMEOUT_MS = 10_000.0  # of a route that sets none
 
 
 class WireShare(msgspec.Struct):
-    """One entry of a split."""
+    """One service of a traffic split and its weight."""
 
     service: str = msgspec.field(name="Service")
     weight: int = msgspec.field(name="Weight")
 
 
 class WireExtras(msgspec.Struct, omit_defaults=True):
-    """What a preset says of a route beyond the platform's own fields.
+    """Fields of a preset's route for which the platform has no field of its own.
 
-    :param bare: whether the prefix without its last slash is taken, too.
+    :param bare: whether the prefix without its trailing slash matches, too.
     """
 
     methods: list[str] = msgspec.field(name="Methods", default_factory=list)
@@ -32,7 +32,7 @@
 
 
 class WireRoute(msgspec.Struct):
-    """One path of a host. ``Kind`` says whether a request may be repeated."""
+    """One path of a host. ``Kind`` tells whether its requests are idempotent."""
 
     name: str = msgspec.field(name="Name")
     prefix: str = msgspec.field(name="PathPrefix")
@@ -60,7 +60,7 @@
 
 
 class WireService(msgspec.Struct):
-    """One service."""
+    """One service, with its health check and connection limit."""
 
     name: str = msgspec.field(name="Name")
     health_path: str = msgspec.field(name="HealthPath", default="/healthz")
@@ -68,7 +68,7 @@
 
 
 class WireLimits(msgspec.Struct):
-    """Bounds on callers."""
+    """Limits on callers: sizes in bytes, times in milliseconds."""
 
     header_bytes: int = msgspec.field(name="MaxHeaderBytes", default=16_384)
     body_bytes: int = msgspec.field(name="MaxBodyBytes", default=67_108_864)
@@ -77,7 +77,7 @@
 
 
 class WireConfiguration(msgspec.Struct):
-    """The whole configuration; ``Version`` is a number in hexadecimal digits."""
+    """The whole configuration; ``Version`` is a hexadecimal number."""
 
     version: str = msgspec.field(name="Version")
     hosts: list[WireHost] = msgspec.field(name="VirtualHosts")
@@ -86,7 +86,10 @@
 
 
 def decode(data: bytes) -> routes.Configuration:
-    """Decode and check a configuration whole; raise ``bad-field`` if it is wrong."""
+    """Decode and validate a configuration.
+
+    Raise ``bad-field``, or ``missing-service`` for a route to an undefined service.
+    """
     try:
         wire = msgspec.json.decode(data, type=WireConfiguration)
         version = int(wire.version, VERSION_BASE)
@@ -96,7 +99,7 @@
         item.name: routes.Service(item.name, item.health_path, item.connections)
         for item in wire.services
     }
-    found = [
+    decoded = [
         decode_route(group.host, item, services)
         for group in wire.hosts
         for item in group.paths
@@ -107,13 +110,15 @@
         wire.limits.header_ms / 1000,
         wire.limits.idle_ms / 1000,
     )
-    return routes.Configuration(version, routes.group_by_host(found), services, limits)
+    return routes.Configuration(
+        version, routes.group_by_host(decoded), services, limits
+    )
 
 
 def decode_route(
     host: str, item: WireRoute, services: dict[str, routes.Service]
 ) -> routes.Route:
-    """Decode one route; its services must be part of the configuration."""
+    """Decode one route; raise if ``services`` lacks one of its services."""
     shares = decode_shares(item)
     check_route(item, shares, services)
     extras = item.extras or WireExtras()
@@ -134,7 +139,7 @@
 
 
 def decode_shares(item: WireRoute) -> tuple[routes.Share, ...]:
-    """Return the services of a route that names one, or a split."""
+    """Return the weighted services of a route: its split, or its only service."""
     if item.split:
         return tuple(routes.Share(part.service, part.weight) for part in item.split)
     return (routes.Share(item.service or "", 1),)
@@ -145,12 +150,16 @@
     shares: tuple[routes.Share, ...],
     services: dict[str, routes.Service],
 ) -> None:
-    """Refuse a route that leads nowhere or whose figures make no sense."""
+    """Raise if a route has an invalid field or names a service that is not defined."""
     where = f"route {item.name}"
     if item.kind not in KINDS:
-        raise codes.Failure(codes.BAD_FIELD, f"kind {item.kind!r}", where=where)
+        raise codes.Failure(codes.BAD_FIELD, f"unknown kind {item.kind!r}", where=where)
     if not (item.prefix.startswith("/") and item.prefix.endswith("/")):
-        raise codes.Failure(codes.BAD_FIELD, f"prefix {item.prefix!r}", where=where)
+        raise codes.Failure(
+            codes.BAD_FIELD,
+            f"prefix {item.prefix!r} does not begin and end with a slash",
+            where=where,
+        )
     if item.timeout_ms <= 0 or item.target_ms < 0:
         raise codes.Failure(codes.BAD_FIELD, "times below zero", where=where)
     if any(share.weight < 0 for share in shares):
@@ -165,18 +174,18 @@
             raise codes.Failure(codes.MISSING_SERVICE, share.service, where=where)
 
 
-def encode(found: routes.Configuration) -> bytes:
-    """Return a configuration as the operator writes it."""
-    limits = found.limits
+def encode(configuration: routes.Configuration) -> bytes:
+    """Return a configuration in the platform's wire format."""
+    limits = configuration.limits
     wire = WireConfiguration(
-        f"{found.version:08x}",
+        f"{configuration.version:08x}",
         [
             WireHost(host, [encode_route(route) for route in group])
-            for host, group in found.routes.items()
+            for host, group in configuration.routes.items()
         ],
         [
             WireService(item.name, item.health_path, item.connections)
-            for item in found.services.values()
+            for item in configuration.services.values()
         ],
         WireLimits(
             limits.header_bytes,
@@ -189,11 +198,11 @@
 
 
 def encode_route(route: routes.Route) -> WireRoute:
-    """Return a route on the wire; what the platform has no field for, as extras."""
+    """Return a route in wire format; fields that the platform lacks go into extras."""
     wire = WireRoute(
         route.name,
         route.prefix,
-        IDEMPOTENT_KIND if route.idempotent else ONCE_KIND,
+        IDEMPOTENT_KIND if route.idempotent else NON_IDEMPOTENT_KIND,
         route.priority,
         route.timeout * 1000,
         route.target_latency * 1000,
--- a/rattanridge/platform/heartbeats.py
+++ b/rattanridge/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""What an upstream says of itself to the node beside it."""
+"""Heartbeats and leave messages that an upstream sends to its local node."""
 
 import dataclasses
 
@@ -18,12 +18,13 @@
 class Heartbeat:
     """One heartbeat of an upstream.
 
-    :param endpoint: the upstream's id; the same one may start again.
-    :param incarnation: milliseconds since the epoch of the upstream's start; 0
-        if it told none.
-    :param sequence: grows with each heartbeat of one incarnation.
+    :param endpoint: the upstream's id, which stays the same across restarts.
+    :param incarnation: start time of the upstream's process, in milliseconds since
+        the epoch; 0 if not given.
+    :param sequence: increases with each heartbeat of one incarnation.
+    :param slots: number of requests that it runs at once.
     :param draining: whether it is about to leave.
-    :param cold: seconds for which it is still slow after its start.
+    :param cold_remaining: seconds for which it is still slow after its start.
     """
 
     endpoint: str
@@ -38,7 +39,7 @@
 
 
 class WireHeartbeat(msgspec.Struct):
-    """The body of a heartbeat. ``born`` is the start of this incarnation."""
+    """Body of a heartbeat. ``born`` is the incarnation, see ``Heartbeat``."""
 
     service: str = msgspec.field(name="Service")
     address: str = msgspec.field(name="Address")
@@ -52,19 +53,24 @@
 
 
 class WireLeave(msgspec.Struct):
-    """The body of a farewell; it may be empty."""
+    """Body of a leave message; it may be empty. ``born`` is the incarnation."""
 
     born: int = 0
 
 
 def decode(endpoint: str, data: bytes) -> Heartbeat:
-    """Decode a heartbeat; raise ``bad-field`` if it names no usable endpoint."""
+    """Decode a heartbeat; raise ``bad-field`` if a field is missing or invalid."""
     try:
         wire = msgspec.json.decode(data, type=WireHeartbeat)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise codes.Failure(codes.BAD_FIELD, str(error), where="heartbeat")
     if wire.state not in STATES or wire.slots < 1 or not wire.service:
-        raise codes.Failure(codes.BAD_FIELD, f"state {wire.state}", where="heartbeat")
+        raise codes.Failure(
+            codes.BAD_FIELD,
+            f"state {wire.state}, {wire.slots} slots, service {wire.service!r}: "
+            f"expected one of {STATES}, at least 1 slot, and a service",
+            where="heartbeat",
+        )
     return Heartbeat(
         endpoint,
         wire.born,
@@ -79,7 +85,7 @@
 
 
 def encode(beat: Heartbeat, zone: str = "") -> bytes:
-    """Return a heartbeat as an upstream sends it."""
+    """Return a heartbeat in the wire format of upstreams."""
     wire = WireHeartbeat(
         beat.service,
         beat.address,
@@ -95,6 +101,6 @@
 
 
 def decode_leave(data: bytes) -> int:
-    """Return the incarnation that a farewell names; 0 if it names none."""
+    """Return the incarnation named in a leave message; 0 if there is none."""
     wire = untrusted_json.decode_or_none(data, WireLeave)
     return wire.born if wire is not None else 0
--- a/rattanridge/platform/orders.py
+++ b/rattanridge/platform/orders.py
@@ -1,4 +1,4 @@
-"""The operator's rollout orders and the status that answers them."""
+"""Rollout orders of operators, and the status that the system writes for them."""
 
 import dataclasses
 
@@ -14,9 +14,9 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Order:
-    """The operator wants a service's traffic on another version.
+    """An operator's request to move a service's traffic to another version.
 
-    :param duration: seconds, from the order, within which it is to be done.
+    :param duration: seconds after the order within which the move must be complete.
     """
 
     service: str
@@ -26,19 +26,20 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Status:
-    """How far an order has come.
-
-    :param state: ``RUNNING``, ``COMPLETED`` or ``TAKEN_BACK``.
-    :param version: the version that the order names.
-    :param share: part of the requests that goes to it, 0 to 1.
-    :param one_endpoint: whether only one of the new endpoints gets requests.
-    :param step: index of the step in force.
-    :param elapsed: seconds since the order, at the write.
-    :param began: seconds after the order when the first new endpoint was ready;
-        below 0 before that.
+    """Progress of an order.
+
+    :param state: ``RUNNING``, ``COMPLETED`` or ``ROLLED_BACK``.
+    :param version: target version of the order.
+    :param share: fraction of the requests sent to that version, 0 to 1.
+    :param one_endpoint: whether only one endpoint of that version gets requests.
+    :param step: index of the current step.
+    :param elapsed: seconds between the order and this write.
+    :param began: seconds between the order and the first ready endpoint of the
+        version; negative while there is none.
     :param holder: node that coordinates the order.
-    :param turn: grows with each write, so that a stalled holder shows.
-    :param reason: why the order ended as it did; empty while it runs.
+    :param turn: incremented with each write, so that other nodes detect a stalled
+        holder.
+    :param reason: why the order ended; empty while it runs.
     """
 
     state: str
@@ -54,7 +55,7 @@
 
 
 class WireOrder(msgspec.Struct):
-    """The operator's part."""
+    """The spec of a rollout object, written by the operator."""
 
     service: str = msgspec.field(name="Service")
     version: str = msgspec.field(name="TargetVersion")
@@ -62,7 +63,10 @@
 
 
 class WireStatus(msgspec.Struct):
-    """The system's part; what follows the first two are its own fields."""
+    """The status of a rollout object, written by the system.
+
+    The platform defines the first two fields; the others are the system's own.
+    """
 
     state: str = msgspec.field(name="State")
     version: str = msgspec.field(name="TargetVersion")
@@ -77,7 +81,7 @@
 
 
 def decode_order(data: bytes) -> Order:
-    """Decode an order; raise ``bad-field`` if it is wrong."""
+    """Decode an order; raise ``bad-field`` if it is invalid."""
     try:
         wire = msgspec.json.decode(data, type=WireOrder)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -86,12 +90,12 @@
 
 
 def encode_order(order: Order) -> bytes:
-    """Return an order as the operator writes it."""
+    """Return an order in the operator's wire format."""
     return msgspec.json.encode(WireOrder(order.service, order.version, order.duration))
 
 
 def decode_status(data: bytes) -> Status | None:
-    """Decode a status; None if there is none or it is unreadable."""
+    """Return a decoded status; None if it is absent or unreadable."""
     wire = untrusted_json.decode_or_none(data, WireStatus)
     if wire is None:
         return None
@@ -99,5 +103,5 @@
 
 
 def encode_status(status: Status) -> bytes:
-    """Return a status as the store keeps it."""
+    """Return a status in the store's wire format."""
     return msgspec.json.encode(WireStatus(*dataclasses.astuple(status)))
--- a/rattanridge/platform/store.py
+++ b/rattanridge/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store: objects by kind and name, with watches."""
+"""Client of the platform's metadata store: read, write and watch its objects."""
 
 import asyncio
 import dataclasses
@@ -12,13 +12,13 @@
 from rattanridge.kernel import codes, untrusted_json
 
 NULL = b"null"
-MAX_ANSWER_BYTES = 33_554_432  # of the largest answer that is taken
-CALL_TIMEOUT = 2.0  # seconds for an answer to a call that is not a watch
-WATCH_MARGIN = 0.8  # seconds that a watch may take longer than it was asked to wait
-CONNECT_TIMEOUT = 1.0  # seconds
-KEEPALIVE_IDLE = 1  # seconds of silence before the first probe of a connection
-KEEPALIVE_COUNT = 2  # lost probes, a second apart, that end a connection
-STATUS_CODES = {
+MAX_ANSWER_BYTES = 33_554_432  # largest answer that is read; more is an error
+CALL_TIMEOUT = 2.0  # seconds until the whole answer to a call other than a watch
+WATCH_MARGIN = 0.8  # seconds that a watch may take beyond its requested wait
+CONNECT_TIMEOUT = 1.0  # seconds to open a connection
+KEEPALIVE_IDLE = 1  # seconds without data before the first TCP keep-alive probe
+KEEPALIVE_COUNT = 2  # unanswered probes, 1 s apart, that close the connection
+CODES_BY_STATUS = {
     404: codes.PLATFORM_MISSING,
     409: codes.PLATFORM_CONFLICT,
     410: codes.WATCH_LOST,
@@ -26,10 +26,10 @@
     503: codes.PLATFORM_BUSY,
 }
 
-# Failures of which another try may be free.
+# Failures that may not occur again if the call is retried.
 TRANSIENT_CODES = (codes.PLATFORM_DOWN, codes.PLATFORM_BUSY)
 
-# Parameters of a query.
+# Query parameters.
 AFTER = "after"
 WATCH = "Watch"
 WAIT = "WaitMs"
@@ -41,11 +41,11 @@
 class StoredObject:
     """One object of the store.
 
-    :param revision: the store's revision at the object's last change; 0 for an
-        object that cannot be read.
-    :param spec: JSON that the writer of the object set.
-    :param status: JSON that the system answers with.
-    :param deleted: whether the object is gone.
+    :param revision: the store's revision at the object's last change; 0 if the
+        store gave none.
+    :param spec: JSON set by the writer of the object.
+    :param status: JSON that reports the system's progress on the spec.
+    :param deleted: whether the object is deleted or marked for deletion.
     """
 
     name: str
@@ -57,14 +57,14 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Listing:
-    """Objects of one kind, all or the changed ones, up to a revision of the store."""
+    """All objects of a kind, or the changed ones, as of a revision of the store."""
 
     items: list[StoredObject]
     revision: int
 
 
 class WireMetadata(msgspec.Struct, omit_defaults=True):
-    """What the store says of an object."""
+    """Name, revision and deletion mark of an object."""
 
     name: str = msgspec.field(name="Name")
     revision: int = msgspec.field(name="Revision", default=0)
@@ -72,7 +72,7 @@
 
 
 class WireObject(msgspec.Struct, omit_defaults=True):
-    """An object on the wire."""
+    """An object in wire format."""
 
     metadata: WireMetadata = msgspec.field(name="Metadata")
     spec: msgspec.Raw = msgspec.field(name="Spec", default=msgspec.Raw(NULL))
@@ -80,7 +80,7 @@
 
 
 class WireEvent(msgspec.Struct):
-    """One change that a watch tells."""
+    """One change in the answer to a watch."""
 
     object: msgspec.Raw = msgspec.field(name="Object")
     deleted: bool = msgspec.field(name="IsDeleted", default=False)
@@ -102,7 +102,7 @@
 
 
 def decode_object(data: bytes, deleted: bool = False) -> StoredObject | None:
-    """Decode one object; None if even its name cannot be read."""
+    """Return a decoded object; None if its JSON or its name cannot be read."""
     wire = untrusted_json.decode_or_none(data, WireObject)
     if wire is None:
         return None
@@ -116,23 +116,23 @@
 
 
 def encode(name: str, revision: int, spec: bytes = NULL, status: bytes = NULL) -> bytes:
-    """Return an object as it is written; revision 0 sets no condition."""
+    """Return an object in wire format for a write; revision 0 sets no condition."""
     wire = WireObject(
         WireMetadata(name, revision), msgspec.Raw(spec), msgspec.Raw(status)
     )
     return msgspec.json.encode(wire)
 
 
-def decode(data: bytes, kind: type) -> typing.Any:
-    """Decode an answer of the store."""
+def decode(data: bytes, target_type: type) -> typing.Any:
+    """Decode an answer of the store; raise ``platform-refused`` if it is unreadable."""
     try:
-        return msgspec.json.decode(data, type=kind)
+        return msgspec.json.decode(data, type=target_type)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise codes.Failure(codes.PLATFORM_REFUSED, f"unreadable answer: {error}")
 
 
 def open_socket(info: tuple) -> socket.socket:
-    """Open a socket whose peer is probed, so that a silent connection ends."""
+    """Open a socket with TCP keep-alive, so that a dead connection is closed."""
     family, kind, protocol = info[:3]
     opened = socket.socket(family, kind, protocol)
     opened.setblocking(False)
@@ -144,13 +144,13 @@
 
 
 class Store:
-    """Makes the store's calls; each failure is a coded one.
+    """Client of the store; each error is raised as a ``codes.Failure``.
 
-    ``platform-down`` leaves open whether a write took effect; ``platform-busy``
-    says that nothing was done.
+    After ``platform-down`` a write may or may not have taken effect; after
+    ``platform-busy`` it did not.
 
     :param address: ``host:port`` of the store.
-    :param observe: told the call's name and outcome, for the metrics.
+    :param observe: called with the name and outcome of each call, for the metrics.
     """
 
     def __init__(
@@ -162,8 +162,8 @@
         self.observe = observe
         self.session: aiohttp.ClientSession | None = None
 
-    def open(self) -> aiohttp.ClientSession:
-        """Return the session; made on first use, for it needs the running loop."""
+    def get_session(self) -> aiohttp.ClientSession:
+        """Return the session, created on first use because it needs a running loop."""
         if self.session is None:
             connector = aiohttp.TCPConnector(
                 limit=0, ttl_dns_cache=None, socket_factory=open_socket
@@ -179,7 +179,7 @@
             await self.session.close()
 
     async def list(self, kind: str) -> Listing:
-        """Return all objects of a kind that can be read."""
+        """Return all readable objects of a kind."""
         items: list[StoredObject] = []
         query: dict[str, str] = {}
         while True:
@@ -195,11 +195,11 @@
     ) -> Listing:
         """Wait for changes after a revision, at most ``wait`` seconds.
 
-        :param stale: whether changes may be told seconds late; then the call costs
-            a tenth, and does not count against the store's rate.
+        Raise ``watch-lost`` if the store's history no longer reaches back to the
+        revision, or if the store does not answer within ``wait`` and a margin.
 
-        Raises ``watch-lost`` if the store's history no longer reaches back so far,
-        or if the watch stays silent beyond its time.
+        :param stale: whether changes may arrive seconds late; such a call costs a
+            tenth of a normal one and does not count against the store's rate limit.
         """
         query = {WATCH: str(revision), WAIT: str(int(wait * 1000))}
         if stale:
@@ -209,13 +209,16 @@
                 data = await self.call("watch", "GET", kind, query, timeout=None)
         except TimeoutError:
             self.observe("watch", codes.WATCH_LOST.name)
-            raise codes.Failure(codes.WATCH_LOST, f"{kind}: silent")
+            raise codes.Failure(
+                codes.WATCH_LOST,
+                f"{kind}: no answer within {wait + WATCH_MARGIN:.1f} s",
+            )
         wire = decode(data, WireChanges)
         page = [decode_object(bytes(item.object), item.deleted) for item in wire.events]
         return Listing([item for item in page if item is not None], wire.revision)
 
     async def get(self, kind: str, name: str) -> StoredObject | None:
-        """Return one object, or None if there is none."""
+        """Return one object; None if it does not exist or is unreadable."""
         try:
             data = await self.call("get", "GET", f"{kind}/{quote(name)}")
         except codes.Failure as failure:
@@ -225,37 +228,39 @@
         return decode_object(data)
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
-        """Create an object; ``platform-conflict`` if there is one already."""
+        """Create an object; raise ``platform-conflict`` if it already exists."""
         body = encode(name, 0, spec=spec)
-        return self.stored(await self.call("create", "POST", kind, body=body))
+        return self.decode_written(await self.call("create", "POST", kind, body=body))
 
     async def replace(
         self, kind: str, name: str, spec: bytes, revision: int
     ) -> StoredObject:
-        """Replace the spec if the object's revision is still the one given."""
+        """Replace the spec; raise ``platform-conflict`` if the revision changed."""
         body = encode(name, revision, spec=spec)
         path = f"{kind}/{quote(name)}"
-        return self.stored(await self.call("replace", "PUT", path, body=body))
+        return self.decode_written(await self.call("replace", "PUT", path, body=body))
 
     async def replace_status(
         self, kind: str, name: str, status: bytes, revision: int
     ) -> StoredObject:
-        """Replace the status if the object's revision is still the one given."""
+        """Replace the status; raise ``platform-conflict`` if the revision changed."""
         body = encode(name, revision, status=status)
         path = f"{kind}/{quote(name)}/status"
-        return self.stored(await self.call("status", "PUT", path, body=body))
+        return self.decode_written(await self.call("status", "PUT", path, body=body))
 
     async def delete(self, kind: str, name: str, revision: int) -> None:
-        """Delete an object if its revision is still the one given."""
+        """Delete an object; raise ``platform-conflict`` if its revision changed."""
         query = {REVISION: str(revision)}
         await self.call("delete", "DELETE", f"{kind}/{quote(name)}", query)
 
-    def stored(self, data: bytes) -> StoredObject:
-        """Decode the object that a write returns."""
-        found = decode_object(data)
-        if found is None:
-            raise codes.Failure(codes.PLATFORM_REFUSED, "unreadable object")
-        return found
+    def decode_written(self, data: bytes) -> StoredObject:
+        """Decode the object in the answer to a write."""
+        written = decode_object(data)
+        if written is None:
+            raise codes.Failure(
+                codes.PLATFORM_REFUSED, "the answer to a write holds no readable object"
+            )
+        return written
 
     async def call(
         self,
@@ -266,11 +271,15 @@
         body: bytes = b"",
         timeout: float | None = CALL_TIMEOUT,
     ) -> bytes:
-        """Make one call; raise a coded failure unless it succeeds."""
+        """Return the body of a call's answer; raise a ``codes.Failure`` if it fails.
+
+        :param name: the call's name in the metrics.
+        :param timeout: seconds for the whole call; None for no limit.
+        """
         limit = aiohttp.ClientTimeout(total=timeout, sock_connect=CONNECT_TIMEOUT)
         headers = {"Content-Type": "application/json"} if body else {}
         try:
-            async with self.open().request(
+            async with self.get_session().request(
                 method,
                 self.base + path,
                 params=query or None,
@@ -286,23 +295,25 @@
         if 200 <= status < 300:
             self.observe(name, "ok")
             return data
-        code = STATUS_CODES.get(status, codes.PLATFORM_REFUSED)
+        code = CODES_BY_STATUS.get(status, codes.PLATFORM_REFUSED)
         self.observe(name, code.name)
         raise codes.Failure(code, f"{method} {path}: {status}")
 
 
 async def read_answer(response: aiohttp.ClientResponse) -> bytes:
-    """Return the body of an answer; one without an end is broken off."""
+    """Return the body of an answer; raise if it exceeds ``MAX_ANSWER_BYTES``."""
     parts = []
     size = 0
     while part := await response.content.readany():
         parts.append(part)
         size += len(part)
         if size > MAX_ANSWER_BYTES:
-            raise aiohttp.ClientPayloadError("answer too large")
+            raise aiohttp.ClientPayloadError(
+                f"answer of the store is larger than {MAX_ANSWER_BYTES} bytes"
+            )
     return b"".join(parts)
 
 
 def quote(name: str) -> str:
-    """Return an object's name as part of a path."""
+    """Quote an object's name for use in a URL path."""
     return urllib.parse.quote(name, safe="")
--- a/rattanridge/policies/placement.py
+++ b/rattanridge/policies/placement.py
@@ -28,9 +28,7 @@
 SHED_PENALTY = 2.0
 # Multiple of the target latency; spreads the requests of entries with the same data.
 JITTER = 0.1
-DEFAULT_PROCESSING_TIME = (
-    0.1  # seconds of processing, until a route's own mean is known
-)
+DEFAULT_PROCESSING_TIME = 0.1  # seconds, until a route's own mean is known
 
 
 @dataclasses.dataclass(slots=True)
--- a/rattanridge/policies/quarantine.py
+++ b/rattanridge/policies/quarantine.py
@@ -1,9 +1,10 @@
-"""Decides which requests to quarantine because they crash upstreams. No network.
+"""Decides which requests to quarantine because they crash upstreams.
 
-Handles a request that crashes each upstream that starts to run it, and that is sent
-again with the same path and body, to any node. An upstream that stops for another
-reason breaks harmless requests too. Therefore only requests that started just before
-the crash are suspected, two crashes are needed, and an answer clears a request.
+Needs no network. Handles a request that crashes each upstream that starts to run it,
+and that is sent again with the same path and body, to any node. An upstream that
+stops for another reason breaks harmless requests too. Therefore only requests that
+started just before the crash are suspected, two crashes are needed, and an answer
+clears a request.
 """
 
 import msgspec
@@ -48,14 +49,16 @@
         self.pending: list[tuple[float, str]] = []
         self.suspects: dict[str, Suspect] = {}
 
-    def record_broken_request(self, name: str, ran_for: float, now: float) -> None:
+    def record_broken_request(
+        self, fingerprint: str, ran_for: float, now: float
+    ) -> None:
         """Record a request whose connection to the upstream broke.
 
-        :param name: fingerprint of the request.
+        :param fingerprint: hash that identifies the request.
         :param ran_for: seconds that it ran.
         """
         if ran_for <= MAX_SUSPECT_RUN_TIME:
-            self.pending.append((now, name))
+            self.pending.append((now, fingerprint))
 
     def record_crash(self, now: float, wall: float) -> bool:
         """Record a confirmed crash; return whether the suspects changed.
@@ -63,25 +66,35 @@
         :param now: monotonic seconds.
         :param wall: seconds since the epoch.
         """
-        confirmed = {name for at, name in self.pending if now - at <= CONFIRM_TIMEOUT}
+        confirmed = {
+            fingerprint
+            for at, fingerprint in self.pending
+            if now - at <= CONFIRM_TIMEOUT
+        }
         self.pending.clear()
-        for name in confirmed:
-            suspect = self.suspects.get(name)
+        for fingerprint in confirmed:
+            suspect = self.suspects.get(fingerprint)
             crashes = suspect.crashes + 1 if suspect is not None else 1
-            self.suspects[name] = Suspect(name, crashes, int(wall + EVIDENCE_TTL))
+            self.suspects[fingerprint] = Suspect(
+                fingerprint, crashes, int(wall + EVIDENCE_TTL)
+            )
         while len(self.suspects) > MAX_SUSPECTS:
             self.suspects.pop(next(iter(self.suspects)))
         return bool(confirmed)
 
-    def clear(self, name: str) -> bool:
+    def clear(self, fingerprint: str) -> bool:
         """Drop a request that was answered; return whether the suspects changed."""
-        return self.suspects.pop(name, None) is not None
+        return self.suspects.pop(fingerprint, None) is not None
 
     def expire(self, wall: float) -> bool:
         """Drop expired suspects; return whether there were any."""
-        expired = [name for name, item in self.suspects.items() if item.until <= wall]
-        for name in expired:
-            del self.suspects[name]
+        expired = [
+            fingerprint
+            for fingerprint, item in self.suspects.items()
+            if item.until <= wall
+        ]
+        for fingerprint in expired:
+            del self.suspects[fingerprint]
         return bool(expired)
 
 
@@ -99,21 +112,21 @@
         else:
             self.reported.pop(node, None)
 
-    def clear(self, name: str, wall: float) -> None:
+    def clear(self, fingerprint: str, wall: float) -> None:
         """Ignore the evidence on a request that an upstream answered."""
         self.cleared = {
             cleared: until for cleared, until in self.cleared.items() if until > wall
         }
-        self.cleared[name] = wall + EVIDENCE_TTL
+        self.cleared[fingerprint] = wall + EVIDENCE_TTL
 
-    def is_quarantined(self, name: str, wall: float) -> bool:
+    def is_quarantined(self, fingerprint: str, wall: float) -> bool:
         """Return whether a request is quarantined."""
-        if self.cleared.get(name, 0.0) > wall:
+        if self.cleared.get(fingerprint, 0.0) > wall:
             return False
         crashes = sum(
             item.crashes
             for suspects in self.reported.values()
             for item in suspects
-            if item.fingerprint == name and item.until > wall
+            if item.fingerprint == fingerprint and item.until > wall
         )
         return crashes >= CRASH_THRESHOLD
--- a/rattanridge/policies/queueing.py
+++ b/rattanridge/policies/queueing.py
@@ -12,9 +12,7 @@
 from rattanridge.kernel import codes, registry
 
 MEAN_WEIGHT = 0.1  # of one request in a route's mean processing time
-DEFAULT_PROCESSING_TIME = (
-    0.05  # seconds of processing, until a route's own mean is known
-)
+DEFAULT_PROCESSING_TIME = 0.05  # seconds, until a route's own mean is known
 LATE_WAIT_SHARE = 0.5  # of its remaining time that a late request may wait
 MIN_RETRY_AFTER = 0.05  # seconds
 MAX_RETRY_AFTER = 5.0  # seconds
@@ -108,7 +106,7 @@
     return remaining < SHUTDOWN_RESERVE + SHUTDOWN_FACTOR * processing_time
 
 
-class Times:
+class ProcessingTimes:
     """The mean processing time of each route's requests at one endpoint."""
 
     def __init__(self) -> None:
@@ -149,7 +147,7 @@
         self.admission = admission
         self.running = 0
         self.waiting: list[Ticket] = []
-        self.times = Times()
+        self.times = ProcessingTimes()
         self.last_number = 0
 
     async def acquire(self, ticket: Ticket) -> None:
--- a/rattanridge/policies/ramp.py
+++ b/rattanridge/policies/ramp.py
@@ -1,11 +1,11 @@
-"""Decides which share of the requests a new version gets, and when. No network.
-
-A good version must take over within the duration of the rollout, and a bad one may
-get at most a tenth of the requests until it is detected. One of the new endpoints
-gets its full load early, because a fault may appear only under load. If endpoints of
-the new version go away during the rollout, it gets no more requests than the
-remaining ones can serve, and it does not replace the old version, whose endpoints
-stop as soon as it has taken over.
+"""Decides which share of the requests a new version gets, and when.
+
+Needs no network. A good version must take over within the duration of the rollout,
+and a bad one may get at most a tenth of the requests until it is detected. One of
+the new endpoints gets its full load early, because a fault may appear only under
+load. If endpoints of the new version go away during the rollout, it gets no more
+requests than the remaining ones can serve, and it does not replace the old version,
+whose endpoints stop as soon as it has taken over.
 """
 
 import dataclasses
@@ -55,8 +55,8 @@
         negative while there is none.
     :param step: index of the current step in ``STEPS``.
     :param step_at: value of ``elapsed`` when the current step began.
-    :param room: slots of the new version's ready endpoints, divided by the slots of
-        the old version's.
+    :param capacity_ratio: slots of the new version's ready endpoints, divided by
+        those of the old version.
     """
 
     duration: float
--- a/rattanridge/policies/retry_budget.py
+++ b/rattanridge/policies/retry_budget.py
@@ -11,7 +11,7 @@
 together stay within the ratio of the larger of these two windows. This holds for any
 number of nodes, when load moves between nodes, and when nodes restart: a node that
 starts has earned nothing. The fixed allowance is divided by the number of nodes that
-share it (see ``sharing``).
+share it (see ``budget_nodes``).
 
 Handles a failing or overloaded service whose failures would be multiplied by
 retries, while load moves between nodes and nodes start and stop.
@@ -36,7 +36,8 @@
     """The budget of one service over all nodes.
 
     :param ratio: retries for each request.
-    :param least: fixed allowance: retries in one window for any number of requests.
+    :param min_retries: fixed allowance of retries in each window, whatever the number
+        of requests.
     :param window: seconds.
     """
 
--- a/rattanridge/web/__init__.py
+++ b/rattanridge/web/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP ports: serving, reading bodies within bounds, refusing with a code."""
+"""HTTP servers of a node: limits on connections and bodies, and coded errors."""
--- a/rattanridge/web/bodies.py
+++ b/rattanridge/web/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests, read whole within bounds of size, time and memory."""
+"""Reading of whole request bodies, with limits on size, time and memory."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 from rattanridge.kernel import codes
 from rattanridge.web import memory
 
-PART_SECONDS = 10.0  # within which the next part of a body must come
-BROKEN = (aiohttp.ClientError, aiohttp.web.RequestPayloadError, OSError)
+PART_SECONDS = 10.0  # time limit for each part of a body
+CONNECTION_ERRORS = (aiohttp.ClientError, aiohttp.web.RequestPayloadError, OSError)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -19,10 +19,13 @@
     limit: int,
     held: memory.MemoryBudget | None = None,
 ) -> bytes:
-    """Read a request's body whole; ``held.release`` it after use.
+    """Read the whole body of a request; call ``held.free_body`` after use.
 
-    :param limit: most bytes.
-    :param held: counts the bytes; a small body need not be counted.
+    Raise ``body-too-large`` over the limit, ``body-cut`` if the body does not arrive
+    completely, and ``memory-full`` if ``held`` has no room for it.
+
+    :param limit: maximum size in bytes.
+    :param held: memory budget that counts large bodies; None to bound this body only.
     """
     held = held or memory.MemoryBudget(limit)
     length = request.content_length
@@ -31,28 +34,28 @@
     if length is None and not request.body_exists:
         return b""
     if aiohttp.hdrs.EXPECT in request.headers:
-        await answer_expect(request)
+        await send_continue(request)
     parts = []
-    size = taken = 0
+    size = counted = 0
     try:
         while part := await read_part(request):
             size += len(part)
             if size > limit:
                 raise codes.Failure(codes.BODY_TOO_LARGE)
             if size > memory.SMALL_BODY_BYTES:
-                held.reserve(size - taken)
-                taken = size
+                held.reserve(size - counted)
+                counted = size
             parts.append(part)
     except BaseException as error:
-        held.free(taken)
-        if isinstance(error, BROKEN):
+        held.free(counted)
+        if isinstance(error, CONNECTION_ERRORS):
             raise codes.Failure(codes.BODY_CUT)
         raise
     return b"".join(parts)
 
 
 async def read_part(request: aiohttp.web.BaseRequest) -> bytes:
-    """Return the next part of a body; empty at its end."""
+    """Return the next part of a body; empty at the end of the body."""
     try:
         async with asyncio.timeout(PART_SECONDS):
             return await request.content.readany()
@@ -60,9 +63,11 @@
         raise codes.Failure(codes.BODY_CUT, "it came too slowly")
 
 
-async def answer_expect(request: aiohttp.web.BaseRequest) -> None:
-    """Tell a caller that waits with its body to send it."""
+async def send_continue(request: aiohttp.web.BaseRequest) -> None:
+    """Answer ``Expect: 100-continue``; raise ``bad-request`` for other expectations."""
     if request.headers[aiohttp.hdrs.EXPECT].lower() != "100-continue":
-        raise codes.Failure(codes.BAD_REQUEST, "expectation")
+        raise codes.Failure(
+            codes.BAD_REQUEST, "the only supported expectation is 100-continue"
+        )
     await request.writer.write(CONTINUE)
     request.writer.output_size = 0
--- a/rattanridge/web/headers.py
+++ b/rattanridge/web/headers.py
@@ -1,17 +1,17 @@
-"""Names of the system's own headers, and which headers travel on."""
+"""The system's own HTTP headers, and rules for forwarding headers."""
 
 import functools
 
 PREFIX = "rattanridge-"
 CODE = "Rattanridge-Code"
 RAN = "Rattanridge-Ran"
-RECORDED = "Rattanridge-Recorded"  # 1: a repeat got the recorded answer
-CALL = "Rattanridge-Call"  # node to node: what the exit needs to know of a call
-ANSWER = "Rattanridge-Answer"  # node to node: what the entry needs to know
-NODE = "Rattanridge-Node"  # node to node: name of the sender
-TOKEN = "Rattanridge-Token"  # node to node: proves the shared key
+RECORDED = "Rattanridge-Recorded"  # 1: answer recorded from an earlier sending
+CALL = "Rattanridge-Call"  # between nodes: data of a call for the exit node
+ANSWER = "Rattanridge-Answer"  # between nodes: data of an answer for the entry node
+NODE = "Rattanridge-Node"  # between nodes: name of the sending node
+TOKEN = "Rattanridge-Token"  # between nodes: proof of the shared key
 
-# Hop-by-hop headers of RFC 9110, and those that the HTTP library writes itself.
+# Hop-by-hop headers of RFC 9110, and headers that the HTTP library writes itself.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -31,13 +31,13 @@
 
 @functools.lru_cache(maxsize=4096)
 def is_dropped(name: str) -> bool:
-    """Whether a header never travels on."""
+    """Return whether a header must not be forwarded."""
     lower = name.lower()
     return lower in HOP_BY_HOP or lower.startswith(PREFIX)
 
 
 def host_of(value: str) -> str:
-    """Return the host that a ``Host`` header names, without port, lower case."""
+    """Return the host of a ``Host`` header in lower case, without port or final dot."""
     if value.startswith("["):
         return value.partition("]")[0].lower() + "]"
     return value.partition(":")[0].rstrip(".").lower()
--- a/rattanridge/web/memory.py
+++ b/rattanridge/web/memory.py
@@ -1,14 +1,15 @@
-"""Bound of the bytes that a node holds for requests and answers."""
+"""Limit on the memory that a node uses for bodies of requests and answers."""
 
 from rattanridge.kernel import codes
 
-SMALL_BODY_BYTES = 65_536  # bytes; smaller bodies are bounded by the connections
+# Bodies up to this size are not counted; the connection limit bounds them.
+SMALL_BODY_BYTES = 65_536
 
 
 class MemoryBudget:
-    """Counts the bytes of bodies that are held whole.
+    """Memory budget for bodies that are held whole.
 
-    :param limit: most bytes at once.
+    :param limit: maximum number of bytes held at once.
     """
 
     def __init__(self, limit: int):
@@ -18,19 +19,19 @@
     def reserve(
         self, size: int, ran: codes.Execution = codes.Execution.NOT_RUN
     ) -> None:
-        """Count more bytes; raise ``memory-full`` over the limit.
+        """Reserve bytes; raise ``memory-full`` if the limit would be exceeded.
 
-        :param ran: what is known of the work that the bytes belong to.
+        :param ran: whether the requested work was executed, for the failure.
         """
         if self.used + size > self.limit:
             raise codes.Failure(codes.MEMORY_FULL, retry_after=1.0, ran=ran)
         self.used += size
 
     def free(self, size: int) -> None:
-        """Give counted bytes back."""
+        """Free reserved bytes."""
         self.used -= size
 
     def free_body(self, body: bytes) -> None:
-        """Give back the bytes of a request's body that was read whole."""
+        """Free the bytes that ``read_body`` reserved for a body."""
         if len(body) > SMALL_BODY_BYTES:
             self.used -= len(body)
--- a/rattanridge/web/responses.py
+++ b/rattanridge/web/responses.py
@@ -1,4 +1,4 @@
-"""Responses in which the system itself tells what became of a request."""
+"""HTTP responses that report coded failures of the system."""
 
 import aiohttp.web
 
@@ -6,16 +6,16 @@
 from rattanridge.web import headers
 
 
-def refuse(failure: codes.Failure) -> aiohttp.web.Response:
-    """Return the response that tells a coded failure."""
-    marked = {
+def from_failure(failure: codes.Failure) -> aiohttp.web.Response:
+    """Return the response for a failure, with its code in headers and text."""
+    fields = {
         headers.CODE: str(failure.code.number),
         headers.RAN: failure.ran.value,
     }
     if failure.retry_after:
-        marked["Retry-After"] = f"{failure.retry_after:.2f}"
+        fields["Retry-After"] = f"{failure.retry_after:.2f}"
     return aiohttp.web.Response(
         status=failure.code.status,
-        headers=marked,
+        headers=fields,
         text=f"{failure.format()} ({failure.ran.value})\n",
     )
--- a/rattanridge/web/server.py
+++ b/rattanridge/web/server.py
@@ -1,7 +1,7 @@
-"""HTTP server of all the node's ports, with coded refusals of its own.
+"""HTTP server for the ports of a node.
 
-The library refuses some requests before any handler sees them, and answers for
-a handler that fails. Here those answers carry the system's codes too.
+The HTTP library itself answers malformed requests and requests whose handler fails.
+This server gives those answers the system's result codes, too.
 """
 
 import asyncio
@@ -17,9 +17,9 @@
 from rattanridge.kernel import codes
 from rattanridge.web import responses
 
-IDLE_SECONDS = 75.0  # that a connection may wait for its next request
-FIRST_REQUEST_SECONDS = 10.0  # within which a new connection sends its first one
-LINGER_SECONDS = 1.0  # for reading the rest of a refused body
+IDLE_SECONDS = 75.0  # until an idle connection is closed
+FIRST_REQUEST_SECONDS = 10.0  # until a new connection must have sent a request
+LINGER_SECONDS = 1.0  # for reading the rest of the body of a refused request
 SCHEMES = ("http", "https")
 PLAIN_TARGET = re.compile(r"(/[A-Za-z0-9_~-][A-Za-z0-9._~-]*)*/?(\?[!-~]*)?")
 DOT_SEGMENTS = frozenset((".", ".."))
@@ -30,27 +30,27 @@
 
 
 class Limits(typing.Protocol):
-    """Bounds of one port."""
+    """Limits of one port."""
 
     header_bytes: int
     connections: int
 
 
 class Config(typing.Protocol):
-    """The part of a node's settings that a port needs."""
+    """The settings that a port uses."""
 
     name: str
     limits: Limits
 
 
 class Counters(typing.Protocol):
-    """Counts events by name."""
+    """Counters of events by name."""
 
     def add(self, name: str) -> None: ...
 
 
 class Log(typing.Protocol):
-    """Takes events; those that may come often, through ``note``."""
+    """Event log; ``note`` limits the rate of frequent events."""
 
     def note(self, event: str, **fields: object) -> None: ...
 
@@ -58,16 +58,16 @@
 
 
 class Request(aiohttp.web.BaseRequest):
-    """One request; its answer does not tell the library's name."""
+    """A request whose response does not name the HTTP library."""
 
     async def _prepare_hook(self, response: aiohttp.web.StreamResponse) -> None:
-        # The library offers no other place after its own headers were added.
+        # The library has no other hook after it has added its own headers.
         if response.headers.get("Server") == aiohttp.http.SERVER_SOFTWARE:
             del response.headers["Server"]
 
 
 class Protocol(aiohttp.web.RequestHandler):
-    """One connection; refuses unreadable requests with a code."""
+    """One connection; answers malformed requests with a result code."""
 
     __slots__ = ("server", "timer")
 
@@ -82,15 +82,15 @@
             transport.abort()
             return
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(FIRST_REQUEST_SECONDS, self.drop_silent)
+        self.timer = loop.call_later(FIRST_REQUEST_SECONDS, self.abort_unused)
 
     def connection_lost(self, error: BaseException | None) -> None:
         if self.timer is not None:
             self.timer.cancel()
         super().connection_lost(error)
 
-    def drop_silent(self) -> None:
-        """End a connection that sent no whole request head in time."""
+    def abort_unused(self) -> None:
+        """Abort the connection unless it has sent a complete request head."""
         if not self._request_count and self.transport is not None:
             self.server.counters.add("http.dropped.silent")
             self.transport.abort()
@@ -102,26 +102,29 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> aiohttp.web.StreamResponse:
-        """Return the coded answer to an unreadable request or a failed handler."""
+        """Return the coded answer to a malformed request or a failed handler.
+
+        Raise ``ConnectionError`` if part of an answer was already sent.
+        """
         if request.writer.output_size > 0:
             raise ConnectionError("the answer is cut")
-        failure = self.server.failure_of(request, status, exc)
-        response = responses.refuse(failure)
+        failure = self.server.record_failure(request, status, exc)
+        response = responses.from_failure(failure)
         response.force_close()
         return response
 
     def log_exception(self, *args: object, **more: object) -> None:
-        """Log what the library could not handle as one line of our own."""
+        """Log an unhandled error of the library as one line in our format."""
         error = more.get("exc_info")
         self.server.log.error("http-failed", why=describe(error or args))
 
 
 class Server(aiohttp.web.Server):
-    """Serves one port.
+    """HTTP server of one port.
 
-    :param handler: answers the requests that can be read.
-    :param config: the node's settings, for the limits.
-    :param counters: counts refusals by code and connections over the limit.
+    :param handler: answers well-formed requests.
+    :param config: the node's settings, which contain the limits.
+    :param counters: counts refused requests by code, and dropped connections.
     """
 
     def __init__(
@@ -154,12 +157,12 @@
     async def handle(
         self, request: aiohttp.web.BaseRequest
     ) -> aiohttp.web.StreamResponse:
-        """Check what holds for every port, then answer the request."""
+        """Check the request target, then call the handler."""
         check_target(request)
         return await self.handler(request)
 
     def admit(self) -> bool:
-        """Whether one more connection is within the limit."""
+        """Return whether the connection limit allows the newest connection."""
         if len(self._connections) <= self.limits.connections:
             return True
         self.counters.add("http.dropped.connections")
@@ -173,22 +176,22 @@
         writer: object,
         task: asyncio.Task,
     ) -> aiohttp.web.BaseRequest:
-        """Build a request; one in absolute form is turned into origin form."""
+        """Build a request; convert a target in absolute form to origin form."""
         if not message.path.startswith("/") and message.url.scheme in SCHEMES:
             message = to_origin_form(message)
         return Request(message, payload, protocol, writer, task, self._loop)
 
-    def failure_of(
+    def record_failure(
         self,
         request: aiohttp.web.BaseRequest,
         status: int,
         error: BaseException | None,
     ) -> codes.Failure:
-        """Return the coded failure of a request that no handler answered."""
+        """Count and log the failure of a request without an answer; return it coded."""
         if isinstance(error, codes.Failure):
             failure = error
         elif status < 500:
-            failure = unreadable(error)
+            failure = parse_failure(error)
         else:
             failure = codes.Failure(
                 codes.INTERNAL, type(error).__name__, ran=codes.Execution.UNKNOWN
@@ -207,17 +210,17 @@
 def to_origin_form(
     message: aiohttp.http.RawRequestMessage,
 ) -> aiohttp.http.RawRequestMessage:
-    """Return a message whose absolute target became a path and a Host header."""
-    kept = message.headers.copy()
-    kept["Host"] = message.url.raw_authority
+    """Return a message with its absolute target split into a path and a Host header."""
+    headers = message.headers.copy()
+    headers["Host"] = message.url.raw_authority
     target = message.url.raw_path_qs
     return message._replace(
-        path=target, url=yarl.URL(target, encoded=True), headers=kept
+        path=target, url=yarl.URL(target, encoded=True), headers=headers
     )
 
 
-def unreadable(error: BaseException | None) -> codes.Failure:
-    """Return the failure for a request that the parser refused."""
+def parse_failure(error: BaseException | None) -> codes.Failure:
+    """Return the coded failure of a request that the parser rejected."""
     text = str(getattr(error, "message", ""))
     too_long = isinstance(error, aiohttp.http_exceptions.LineTooLong)
     if too_long or text.startswith("Too many headers"):
@@ -226,25 +229,29 @@
 
 
 def check_target(request: aiohttp.web.BaseRequest) -> None:
-    """Refuse a target whose route would depend on who resolves it.
+    """Raise ``bad-request`` for a target that programs may resolve differently.
 
-    Dot segments, backslashes and control characters mean different paths to
-    different programs; then a request could match one route here and be run
-    as another.
+    Dot segments, backslashes and control characters are interpreted differently by
+    different programs: a request could match one route here and another path at the
+    upstream.
     """
     target = request.raw_path
     if not target.startswith("/") or "#" in target:
-        raise codes.Failure(codes.BAD_REQUEST, "target")
+        raise codes.Failure(
+            codes.BAD_REQUEST, "the target does not start with / or contains #"
+        )
     if PLAIN_TARGET.fullmatch(target):
         return
     path = request.path
     if "\\" in path or not path.isprintable():
-        raise codes.Failure(codes.BAD_REQUEST, "target")
+        raise codes.Failure(
+            codes.BAD_REQUEST, "backslash or non-printable character in the target"
+        )
     if not DOT_SEGMENTS.isdisjoint(path.split("/")):
         raise codes.Failure(codes.BAD_REQUEST, "dot segment in the target")
 
 
 def describe(error: object) -> str:
-    """Return an error's type and first line, short enough for a log line."""
+    """Return an error's type and first line, the line cut to 200 characters."""
     first = str(error).partition("\n")[0][:200]
     return f"{type(error).__name__}: {first}"
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,5 +1,7 @@
-"""The adapter: what the platform says, decoded once; and nothing that knows it
-elsewhere."""
+"""The platform adapter: decoding and encoding of its formats.
+
+Also checks that no other package contains names of the platform's wire format.
+"""
 
 import itertools
 import pathlib
@@ -13,11 +15,11 @@
 from rattanridge.kernel import codes, routes
 from rattanridge.mesh import settings
 from rattanridge.platform import configs, headers, heartbeats, orders, store
-from rattanridge.policies import keys  # noqa: F401 (registers sources of keys)
+from rattanridge.policies import keys  # noqa: F401 (registers the key sources)
 
 ROOT = pathlib.Path(__file__).parent.parent
 PACKAGE = ROOT / "rattanridge"
-OUTSIDE = [
+FILES_OUTSIDE_ADAPTER = [
     path for path in PACKAGE.rglob("*.py") if path.parent != PACKAGE / "platform"
 ]
 WIRE_NAMES = re.compile(
@@ -25,7 +27,7 @@
     r"|Response-Signature|Target-Instance|Caller-Service|MarkedForDeletion"
     r"|Not-Executed|Deadline-Ms|CurrentRev|DurationS|TargetVersion"
 )
-BEAT = {
+HEARTBEAT = {
     "Service": "s",
     "Address": "10.0.0.1:80",
     "Zone": "z",
@@ -44,15 +46,15 @@
 """
 
 
-class TestBoundary:
-    @pytest.mark.parametrize("path", OUTSIDE, ids=lambda path: path.name)
-    def test_no_wire_name_outside_the_adapter(self, path):
+class TestIsolation:
+    @pytest.mark.parametrize("path", FILES_OUTSIDE_ADAPTER, ids=lambda path: path.name)
+    def test_wire_names_are_only_in_the_adapter(self, path):
         assert not WIRE_NAMES.search(path.read_text())
 
 
 class TestHeartbeats:
-    def test_decoded(self):
-        found = heartbeats.decode("i-1", msgspec.json.encode(BEAT))
+    def test_decode(self):
+        found = heartbeats.decode("i-1", msgspec.json.encode(HEARTBEAT))
         assert (found.endpoint, found.incarnation, found.sequence) == ("i-1", 99, 4)
         assert (found.slots, found.draining, found.cold_remaining) == (6, False, 1.5)
 
@@ -67,18 +69,18 @@
             {"born": 1.5},
         ],
     )
-    def test_odd_ones_are_refused(self, change):
+    def test_invalid_heartbeats_are_refused(self, change):
         with pytest.raises(codes.Failure) as caught:
-            heartbeats.decode("i-1", msgspec.json.encode(BEAT | change))
+            heartbeats.decode("i-1", msgspec.json.encode(HEARTBEAT | change))
         assert caught.value.code is codes.BAD_FIELD
 
     @pytest.mark.parametrize("data", [b"", b"\xff", b"[", b'{"born":7}', b"{}"])
-    def test_farewells(self, data):
+    def test_decode_leave(self, data):
         assert heartbeats.decode_leave(data) == (7 if b"7" in data else 0)
 
 
 class TestOrders:
-    def test_status_survives_the_store(self):
+    def test_status_round_trip(self):
         status = orders.Status("running", "v2", 0.25, True, 2, 3.5, 1.0, "n", 7)
         assert orders.decode_status(orders.encode_status(status)) == status
 
@@ -103,11 +105,11 @@
 
 
 class TestObjects:
-    def test_unreadable_objects_are_left_out(self):
+    def test_unreadable_objects_give_none(self):
         assert store.decode_object(b"5") is None
         assert store.decode_object(b'{"Metadata":{}}') is None
 
-    def test_marked_for_deletion_is_gone(self):
+    def test_object_marked_for_deletion_is_deleted(self):
         data = b'{"Metadata":{"Name":"n","Revision":5,"MarkedForDeletion":true}}'
         assert store.decode_object(data).deleted
 
@@ -131,7 +133,7 @@
         assert (route.idempotent, route.priority, route.timeout) == (False, 2, 1.2)
         assert [share.weight for share in route.shares] == [90, 10]
 
-    def test_what_presets_say_survives_the_store(self):
+    def test_configuration_round_trip(self):
         key = routes.KeySource("header", "Idempotency-Key")
         route = routes.Route(
             name="r",
@@ -147,12 +149,12 @@
             bare=True,
             key=key,
         )
-        made = routes.Configuration(
+        configuration = routes.Configuration(
             7, routes.group_by_host([route]), {"s": routes.Service("s")}
         )
-        assert configs.decode(configs.encode(made)) == made
+        assert configs.decode(configs.encode(configuration)) == configuration
 
-    def test_an_unknown_key_source_is_refused(self):
+    def test_unknown_key_source_is_refused(self):
         extras = configs.WireExtras(key=routes.KeySource("none-such", "x"))
         wire = configs.WireConfiguration(
             "1",
@@ -172,7 +174,7 @@
             configs.decode(msgspec.json.encode(wire))
         assert caught.value.code is codes.BAD_FIELD
 
-    def test_a_plain_route_has_the_platform_s_fields_only(self):
+    def test_plain_route_has_only_the_platform_fields(self):
         wire = configs.WireRoute("r", "/p/", "safe", service="s")
         assert set(msgspec.json.decode(msgspec.json.encode(wire))) == {
             "Name", "PathPrefix", "Kind", "Priority", "TimeoutMs", "TargetLatencyMs",
@@ -198,13 +200,13 @@
             "upstream: here",
         ],
     )
-    def test_wrong_ones_name_the_line(self, line, tmp_path):
+    def test_invalid_settings_are_refused(self, line, tmp_path):
         path = tmp_path / "node.yaml"
         path.write_text(SETTINGS.replace("store: 10.0.0.1:1\n", "") + line + "\n")
         with pytest.raises(codes.Failure):
             settings.load(str(path))
 
-    def test_command_checks_them(self, tmp_path):
+    def test_check_command(self, tmp_path):
         path = tmp_path / "node.yaml"
         path.write_text(SETTINGS)
         result = testing.CliRunner().invoke(main.main, ["check", str(path)])
@@ -213,7 +215,7 @@
         result = testing.CliRunner().invoke(main.main, ["check", str(path)])
         assert result.exit_code == 2
 
-    def test_template_fills_every_field_that_it_names(self):
+    def test_template_gives_valid_settings(self):
         text = (ROOT / "deploy/node.yaml.tmpl").read_text()
         filled = re.sub(r"\{\{Bounds[^}]*\}\}|\{\{HeartbeatMs[^}]*\}\}", "2", text)
         numbers = itertools.count(1)
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -1,4 +1,4 @@
-"""Wrong settings and presets: refused with a code, the line and the path."""
+"""Invalid settings and presets are refused with a code, the file and the line."""
 
 import pathlib
 
@@ -49,7 +49,7 @@
         assert result.exit_code == 0, result.output
 
     @pytest.mark.parametrize("user", ["consortium", "cooperative"])
-    def test_no_preset_lets_work_run_more_than_once(self, user):
+    def test_only_get_routes_are_idempotent(self, user):
         for name in ("ordinary", "peak", "maintenance"):
             preset = presets.load(str(ROOT / "examples" / user / f"{name}.yaml"))
             assert preset.name == name
@@ -57,7 +57,7 @@
                 assert route.idempotent == (route.methods == ["GET"])
 
 
-class TestRefusals:
+class TestInvalidDocuments:
     @pytest.mark.parametrize(
         ("old", "new", "code", "line"),
         [
@@ -133,7 +133,7 @@
         if line is not None:
             assert result.output.startswith(f"{path}:{line}:")
 
-    def test_no_file(self, tmp_path):
+    def test_missing_file(self, tmp_path):
         result = check(tmp_path / "none.yaml")
         assert result.exit_code == 2
         assert str(codes.NO_FILE.number) in result.output
@@ -144,8 +144,8 @@
         assert check(path).exit_code == 2
 
 
-class TestBounds:
-    def test_aliases_of_aliases_cost_nothing(self):
+class TestLimits:
+    def test_nested_aliases_are_not_expanded(self):
         lines = ["a0: &a0 [x, x]"]
         lines += [f"a{n}: &a{n} [*a{n - 1}, *a{n - 1}]" for n in range(1, 60)]
         with pytest.raises(codes.Failure) as caught:
@@ -174,7 +174,7 @@
             "[]",
         ],
     )
-    def test_hostile(self, text):
+    def test_hostile_text_is_refused(self, text):
         with pytest.raises(codes.Failure):
             presets.parse(text)
 
@@ -207,24 +207,24 @@
     )
 
     @hypothesis.given(strategies.dictionaries(names, values))
-    def test_any_value(self, value):
-        self.assert_coded(yaml.safe_dump(value))
+    def test_any_mapping(self, value):
+        self.assert_valid_or_refused(yaml.safe_dump(value))
 
     @hypothesis.given(
         strategies.text(strategies.sampled_from("ab:-[]{}&*!'\"#|>? \n\t"), max_size=60)
     )
-    def test_any_yaml(self, text):
-        self.assert_coded(text)
+    def test_any_text(self, text):
+        self.assert_valid_or_refused(text)
 
     @hypothesis.given(strategies.data())
-    def test_one_change_of_a_good_document(self, data):
+    def test_one_change_to_a_valid_document(self, data):
         text = data.draw(strategies.sampled_from([NODE, PRESET]))
-        place = data.draw(strategies.integers(0, len(text)))
-        end = data.draw(strategies.integers(place, min(place + 8, len(text))))
+        start = data.draw(strategies.integers(0, len(text)))
+        end = data.draw(strategies.integers(start, min(start + 8, len(text))))
         new = data.draw(strategies.text(max_size=4))
-        self.assert_coded(text[:place] + new + text[end:])
+        self.assert_valid_or_refused(text[:start] + new + text[end:])
 
-    def assert_coded(self, text):
+    def assert_valid_or_refused(self, text):
         for parse in (settings.parse, presets.parse):
             try:
                 assert parse(text).name
@@ -232,8 +232,8 @@
                 assert failure.exit_code == 2
 
 
-class TestPoint:
-    def test_adds_the_line(self):
+class TestAddLineNumber:
+    def test_adds_the_line_number(self):
         failure = codes.Failure(codes.BAD_FIELD, where="file: routes[0].service")
         assert documents.add_line_number(failure, PRESET, "file").where == (
             "file:6: routes[0].service"
--- a/tests/test_idle_timeout.py
+++ b/tests/test_idle_timeout.py
@@ -19,31 +19,31 @@
 
         Return the lost requests: for each, whether it was not idempotent.
         """
-        known = idle_timeout.IdleTimeout()
+        estimate = idle_timeout.IdleTimeout()
         lost = []
         for number, idle in enumerate(idle_times):
             now = number * 0.1
             non_idempotent = number % 10 < non_idempotent_share * 10
-            if idle > known.max_idle(non_idempotent, now):
+            if idle > estimate.max_idle(non_idempotent, now):
                 continue
             if idle >= limit:
                 lost.append(non_idempotent)
-                known.record_break(idle, QUICK, now)
+                estimate.record_break(idle, QUICK, now)
         return lost
 
     def test_few_requests_are_lost(self):
         assert len(self.simulate([0.05, 0.5, 0.05, 0.4, 0.9, 0.33] * 40)) <= 3
 
     def test_estimate_expires(self):
-        known = idle_timeout.IdleTimeout()
-        known.record_break(0.4, QUICK, 0.0)
-        assert known.max_idle(False, 1.0) < 0.4
-        assert known.max_idle(False, idle_timeout.LOSS_TTL + 1.0) == float("inf")
+        estimate = idle_timeout.IdleTimeout()
+        estimate.record_break(0.4, QUICK, 0.0)
+        assert estimate.max_idle(False, 1.0) < 0.4
+        assert estimate.max_idle(False, idle_timeout.LOSS_TTL + 1.0) == float("inf")
 
     def test_non_idempotent_requests_have_a_shorter_limit(self):
-        known = idle_timeout.IdleTimeout()
-        known.record_break(0.4, QUICK, 0.0)
-        assert known.max_idle(True, 1.0) < known.max_idle(False, 1.0)
+        estimate = idle_timeout.IdleTimeout()
+        estimate.record_break(0.4, QUICK, 0.0)
+        assert estimate.max_idle(True, 1.0) < estimate.max_idle(False, 1.0)
 
 
 class TestOtherBreaks:
@@ -53,9 +53,9 @@
         ("idle", "lasted"), [(0.0, QUICK), (0.05, QUICK), (0.4, 0.2), (3.0, 1.0)]
     )
     def test_set_no_limit(self, idle, lasted):
-        known = idle_timeout.IdleTimeout()
-        assert not known.record_break(idle, lasted, 0.0)
-        assert known.max_idle(True, 0.1) == float("inf")
+        estimate = idle_timeout.IdleTimeout()
+        assert not estimate.record_break(idle, lasted, 0.0)
+        assert estimate.max_idle(True, 0.1) == float("inf")
 
 
 class TestPool:
--- a/tests/test_kernel.py
+++ b/tests/test_kernel.py
@@ -24,7 +24,7 @@
     def test_table_in_docs(self):
         assert check.format_table() in (ROOT / "docs/CODES.md").read_text()
 
-    def test_number_twice(self):
+    def test_duplicate_number(self):
         with pytest.raises(ValueError):
             codes.define(1001, "again", 500, "")
 
@@ -55,7 +55,7 @@
             presets.parse(PRESET + "#" * 2_000_000)
         assert caught.value.code is codes.TOO_LARGE
 
-    def test_same_route_twice(self):
+    def test_duplicate_route(self):
         text = PRESET + "  - {prefix: /pay/, service: payments}\n"
         with pytest.raises(codes.Failure) as caught:
             presets.parse(text)
@@ -74,37 +74,42 @@
 
 class TestRoutes:
     def match(self, services, path, method="GET", host="any"):
-        made = presets.make_configuration(fleet.make_preset("day", services), 1)
-        found = made.match(host, path, method)
-        return found.shares[0].service if found is not None else None
+        configuration = presets.make_configuration(
+            fleet.make_preset("day", services), 1
+        )
+        route = configuration.match(host, path, method)
+        return route.shares[0].service if route is not None else None
 
-    def test_longest_prefix_at_a_slash(self):
+    def test_longest_prefix_that_ends_at_a_slash(self):
         assert self.match(["pay", "paying"], "/paying/x") == "paying"
         assert self.match(["pay", "paying"], "/pay", "POST") == "pay"
         assert self.match(["pay", "paying"], "/payx") is None
         assert self.match(["pay", "paying"], "/pay", "PATCH") is None
 
-    def test_the_very_host_goes_before_any_host(self):
+    def test_exact_host_takes_precedence(self):
         text = PRESET.replace(
             "services: {payments: {}}", "services: {payments: {}, crest: {}}"
         )
         text += "  - {host: crest.example, prefix: /, service: crest}\n"
-        made = presets.make_configuration(presets.parse(text), 1)
-        found = [made.match(host, "/pay/1", "GET") for host in ("crest.example", "b")]
-        assert [item.shares[0].service for item in found] == ["crest", "payments"]
+        configuration = presets.make_configuration(presets.parse(text), 1)
+        found = [
+            configuration.match(host, "/pay/1", "GET")
+            for host in ("crest.example", "b")
+        ]
+        assert [route.shares[0].service for route in found] == ["crest", "payments"]
 
 
 class TestLog:
-    def test_one_line_of_pairs(self):
+    def test_event_is_one_line_of_pairs(self):
         line = log.pairs("refused", {"why": "two words\nlines", "code": 7})
         assert line == 'event=refused why="two words\\nlines" code=7'
 
 
 class TestRegistry:
-    def test_name_twice_and_unknown(self):
-        items = registry.Registry("thing")
-        items.register("one")(1)
+    def test_duplicate_and_unknown_names(self):
+        plugins = registry.Registry("thing")
+        plugins.register("one")(1)
         with pytest.raises(ValueError):
-            items.register("one")(2)
+            plugins.register("one")(2)
         with pytest.raises(KeyError, match="known: one"):
-            items.get("two")
+            plugins.get("two")
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""Documents in compressed form."""
+"""Compression of documents."""
 
 import hypothesis
 import pytest
@@ -9,13 +9,13 @@
 LIMIT = 10_000
 
 
-class TestPacking:
+class TestCompression:
     @hypothesis.given(strategies.binary(max_size=LIMIT))
-    def test_comes_back_as_it_was(self, data):
+    def test_round_trip(self, data):
         assert compression.decompress(compression.compress(data), LIMIT) == data
 
     @hypothesis.given(strategies.binary(max_size=200))
-    def test_anything_else_is_refused(self, data):
+    def test_any_data_is_read_or_refused(self, data):
         try:
             compression.decompress(data, LIMIT)
         except codes.Failure as failure:
@@ -31,7 +31,7 @@
             compression.compress(b"x" * 100_000_000),
         ],
     )
-    def test_cut_long_and_foreign_ones_are_refused(self, data):
+    def test_truncated_long_and_invalid_data_are_refused(self, data):
         with pytest.raises(codes.Failure) as caught:
             compression.decompress(data, LIMIT)
         assert caught.value.code is codes.BAD_FIELD
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -30,69 +30,73 @@
     """A request that crashes each upstream that starts to run it."""
 
     def test_is_quarantined_after_two_crashes(self):
-        known = quarantine.Quarantine()
-        first, second = Node("a", known), Node("b", known)
+        quarantined = quarantine.Quarantine()
+        first, second = Node("a", quarantined), Node("b", quarantined)
         first.crash("poison")
-        assert not known.is_quarantined("poison", NOW)
+        assert not quarantined.is_quarantined("poison", NOW)
         second.crash("poison")
-        assert known.is_quarantined("poison", NOW)
-        assert not known.is_quarantined("other", NOW)
+        assert quarantined.is_quarantined("poison", NOW)
+        assert not quarantined.is_quarantined("other", NOW)
 
     def test_is_quarantined_after_two_crashes_of_one_upstream(self):
-        known = quarantine.Quarantine()
-        node = Node("a", known)
+        quarantined = quarantine.Quarantine()
+        node = Node("a", quarantined)
         node.crash("poison")
         node.crash("poison", at=5.0)
-        assert known.is_quarantined("poison", NOW)
+        assert quarantined.is_quarantined("poison", NOW)
 
     def test_quarantine_expires(self):
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         for name in ("a", "b"):
-            Node(name, known).crash("poison")
-        assert not known.is_quarantined("poison", NOW + quarantine.EVIDENCE_TTL + 1)
+            Node(name, quarantined).crash("poison")
+        assert not quarantined.is_quarantined(
+            "poison", NOW + quarantine.EVIDENCE_TTL + 1
+        )
 
     def test_evidence_of_a_removed_node_is_dropped(self):
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         for name in ("a", "b"):
-            Node(name, known).crash("poison")
-        known.apply("b", ())
-        assert not known.is_quarantined("poison", NOW)
+            Node(name, quarantined).crash("poison")
+        quarantined.apply("b", ())
+        assert not quarantined.is_quarantined("poison", NOW)
 
 
 class TestHarmlessRequest:
     """Upstreams that crash for other reasons while they run requests."""
 
     def test_reset_connections_are_no_crash(self):
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         evidence = quarantine.CrashEvidence()
         for at in range(10):
             evidence.record_broken_request("r", 0.01, at)
         assert not evidence.record_crash(60.0, NOW)
-        assert not known.reported
+        assert not quarantined.reported
 
     def test_long_running_requests_are_not_suspected(self):
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         for name in ("a", "b"):
-            Node(name, known).crash("r", ran_for=quarantine.MAX_SUSPECT_RUN_TIME * 2)
-        assert not known.is_quarantined("r", NOW)
+            Node(name, quarantined).crash(
+                "r", ran_for=quarantine.MAX_SUSPECT_RUN_TIME * 2
+            )
+        assert not quarantined.is_quarantined("r", NOW)
 
     def test_answer_clears_a_request(self):
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         for name in ("a", "b"):
-            Node(name, known).crash("r")
-        known.clear("r", NOW)
-        assert not known.is_quarantined("r", NOW)
+            Node(name, quarantined).crash("r")
+        quarantined.clear("r", NOW)
+        assert not quarantined.is_quarantined("r", NOW)
 
     def test_consecutive_crashes_of_busy_upstreams(self):
         """Each crash breaks the requests of all slots; no request is sent twice."""
-        known = quarantine.Quarantine()
+        quarantined = quarantine.Quarantine()
         for number in range(8):
-            node = Node(f"n{number}", known)
+            node = Node(f"n{number}", quarantined)
             for slot in range(12):
                 node.evidence.record_broken_request(f"r{number}-{slot}", 0.02, 0.0)
             node.crash(f"r{number}")
         assert not any(
-            known.is_quarantined(f"r{number}-{slot}", NOW)
+            quarantined.is_quarantined(f"r{number}-{slot}", NOW)
             for number in range(8)
             for slot in range(12)
         )
--- a/tests/test_queueing.py
+++ b/tests/test_queueing.py
@@ -20,7 +20,7 @@
         await queue.acquire(make_ticket())
 
 
-async def enter(queue, ticket):
+async def wait_for_slot(queue, ticket):
     """Return a task that waits for a slot, once it is queued."""
     task = asyncio.create_task(queue.acquire(ticket))
     await asyncio.sleep(0)
@@ -31,7 +31,7 @@
     async def test_never_runs_more_requests_than_slots(self):
         queue = queueing.Queue(3)
         await fill(queue)
-        waiting = await enter(queue, make_ticket())
+        waiting = await wait_for_slot(queue, make_ticket())
         assert queue.running == 3
         assert not waiting.done()
         queue.release()
@@ -41,7 +41,7 @@
     async def test_cancelled_request_leaves_the_queue(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, make_ticket())
+        waiting = await wait_for_slot(queue, make_ticket())
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
         assert not queue.waiting
@@ -51,7 +51,7 @@
     async def test_request_cancelled_as_it_gets_a_slot_releases_it(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, make_ticket())
+        waiting = await wait_for_slot(queue, make_ticket())
         queue.release()
         waiting.cancel()
         await asyncio.gather(waiting, return_exceptions=True)
@@ -60,7 +60,7 @@
     async def test_added_slots_are_used_immediately(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, make_ticket())
+        waiting = await wait_for_slot(queue, make_ticket())
         queue.resize(2)
         await waiting
 
@@ -87,8 +87,8 @@
         queue = queueing.Queue(1)
         queue.times.record("r", 0.02)
         await fill(queue)
-        overtaken = await enter(queue, make_ticket(**earlier))
-        first = await enter(queue, make_ticket(**later))
+        overtaken = await wait_for_slot(queue, make_ticket(**earlier))
+        first = await wait_for_slot(queue, make_ticket(**later))
         queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -99,8 +99,8 @@
     async def test_equal_requests_run_in_order_of_arrival(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        first = await enter(queue, make_ticket())
-        second = await enter(queue, make_ticket())
+        first = await wait_for_slot(queue, make_ticket())
+        second = await wait_for_slot(queue, make_ticket())
         queue.release()
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -131,7 +131,7 @@
     async def test_of_all_requests_when_the_endpoint_drains(self):
         queue = queueing.Queue(1)
         await fill(queue)
-        waiting = await enter(queue, make_ticket())
+        waiting = await wait_for_slot(queue, make_ticket())
         queue.refuse_all(codes.DRAINING, "the endpoint drains")
         with pytest.raises(codes.Failure) as caught:
             await waiting
@@ -147,10 +147,12 @@
         queue = queueing.Queue(1)
         queue.times.record("r", 0.5)
         await fill(queue)
-        first = await enter(queue, make_ticket(timely=2.0))
+        first = await wait_for_slot(queue, make_ticket(timely=2.0))
         with pytest.raises(codes.Failure):
             await queue.acquire(make_ticket(timely=0.1, deadline=1.3))
-        nested = await enter(queue, make_ticket(timely=0.1, deadline=1.3, nested=True))
+        nested = await wait_for_slot(
+            queue, make_ticket(timely=0.1, deadline=1.3, nested=True)
+        )
         assert not nested.done()
         for task in (first, nested):
             task.cancel()
--- a/tests/test_retry_budget_policy.py
+++ b/tests/test_retry_budget_policy.py
@@ -107,7 +107,7 @@
         self.name = name
         self.rng = rng
         self.budget = retry_budget.Budget(SETTINGS)
-        self.sharers = budget_nodes.BudgetNodes(name, SETTINGS.span())
+        self.budget_nodes = budget_nodes.BudgetNodes(name, SETTINGS.span())
         self.read_at = now
         self.cut_until = now
 
@@ -115,7 +115,7 @@
         """Read the store at random intervals; what is read may be out of date."""
         if now >= self.read_at and now >= self.cut_until:
             staleness = self.rng.uniform(0, budget_nodes.MAX_STALENESS)
-            self.sharers.apply_names(store.names(now - staleness), now)
+            self.budget_nodes.apply_names(store.names(now - staleness), now)
             self.read_at = now + self.rng.uniform(0.8, 11.0)
 
 
@@ -176,7 +176,7 @@
         """Spend all retries that the given nodes allow."""
         for node in nodes:
             for _ in range(
-                spend_all(node.budget, node.sharers.count(self.now), self.now)
+                spend_all(node.budget, node.budget_nodes.count(self.now), self.now)
             ):
                 self.arrived.append(self.now + self.rng.uniform(0, 2.0))
 
@@ -292,7 +292,7 @@
             fleet.stop(node, True)
         fleet.wait(7)
         for node in fleet.nodes:
-            node.sharers.apply_names(fleet.store.names(fleet.now), fleet.now)
+            node.budget_nodes.apply_names(fleet.store.names(fleet.now), fleet.now)
         fleet.spend(fleet.nodes)
         assert fleet.arrived
         assert fleet.excess() <= 0
--- a/tests/test_sink.py
+++ b/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded in rate and size, and never blocking."""
+"""Output of log lines: limited rate, bounded buffer, no blocking."""
 
 import os
 
@@ -17,27 +17,27 @@
 
 
 def record(text):
-    made = logbook.LogRecord("test", logbook.INFO, text)
-    made.heavy_init()
-    return made
+    created = logbook.LogRecord("test", logbook.INFO, text)
+    created.heavy_init()
+    return created
 
 
-class TestGate:
-    def test_lets_the_rate_pass_and_counts_the_rest(self):
-        gate = sinks.RateLimiter(20)
-        passed = sum(gate.allow("event", 1.0) for _ in range(500))
-        assert passed == 20
-        assert gate.suppressed["event"] == 480
+class TestRateLimiter:
+    def test_allows_the_rate_and_counts_suppressed_lines(self):
+        limiter = sinks.RateLimiter(20)
+        allowed = sum(limiter.allow("event", 1.0) for _ in range(500))
+        assert allowed == 20
+        assert limiter.suppressed["event"] == 480
 
-    def test_kinds_do_not_share(self):
-        gate = sinks.RateLimiter(1)
-        assert gate.allow("one", 1.0)
-        assert gate.allow("two", 1.0)
+    def test_events_have_separate_limits(self):
+        limiter = sinks.RateLimiter(1)
+        assert limiter.allow("one", 1.0)
+        assert limiter.allow("two", 1.0)
 
-    def test_heaviest_second_is_bounded(self):
-        gate = sinks.RateLimiter(20)
-        passed = sum(gate.allow("event", step / 1000) for step in range(10_000))
-        assert passed <= 20 + 10 * 20
+    def test_average_rate_is_bounded(self):
+        limiter = sinks.RateLimiter(20)
+        allowed = sum(limiter.allow("event", step / 1000) for step in range(10_000))
+        assert allowed <= 20 + 10 * 20
 
 
 class TestSink:
@@ -50,7 +50,7 @@
         lines = os.read(reader, 65536).decode().splitlines()
         assert [line.split()[-1] for line in lines] == [f"number={n}" for n in range(3)]
 
-    def test_never_blocks_and_drops_the_oldest(self, pipe):
+    def test_full_buffer_drops_the_oldest_lines(self, pipe):
         _, writer = pipe
         sink = sinks.Sink(writer)
         for number in range(20_000):
@@ -58,11 +58,11 @@
             if not number % 1000:
                 sink.flush()
         assert sink.dropped
-        assert sink.size <= sinks.KEPT_BYTES
+        assert sink.size <= sinks.BUFFER_BYTES
 
-    # Guards against: the rest of a line that was written in part is dropped, and the
-    # next line goes on in its place.
-    def test_lines_stay_whole_if_the_reader_is_slow(self, pipe):
+    # Guards against: the rest of a partly written line is dropped, so that the next
+    # line continues it.
+    def test_lines_are_complete_with_a_slow_reader(self, pipe):
         reader, writer = pipe
         sink = sinks.Sink(writer)
         read = b""
@@ -81,7 +81,7 @@
             assert line.count("event=e") == 1
             assert line.endswith(" end")
 
-    def test_a_reader_that_is_gone_is_no_failure(self):
+    def test_closed_reader_is_not_an_error(self):
         reader, writer = os.pipe()
         os.close(reader)
         sink = sinks.Sink(writer)
--- a/tests/test_source.py
+++ b/tests/test_source.py
@@ -1,4 +1,4 @@
-"""Rules of the source that a formatter does not check."""
+"""Source rules that the formatter and the linter do not check."""
 
 import ast
 import importlib
@@ -9,7 +9,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 SOURCES = sorted((ROOT / "rattanridge").rglob("*.py"))
 TESTS = sorted((ROOT / "tests").rglob("*.py"))
-LINES_MOST = 400
+MAX_LINES = 400
 DEFINITIONS = (ast.ClassDef, ast.FunctionDef, ast.AsyncFunctionDef)
 
 
@@ -20,7 +20,7 @@
 class TestFiles:
     @pytest.mark.parametrize("path", SOURCES + TESTS, ids=file_id)
     def test_length(self, path):
-        assert len(path.read_text().splitlines()) <= LINES_MOST
+        assert len(path.read_text().splitlines()) <= MAX_LINES
 
     @pytest.mark.parametrize("path", SOURCES + TESTS, ids=file_id)
     def test_modules_are_imported_not_names(self, path):
@@ -39,12 +39,12 @@
             assert ast.get_docstring(ast.parse(path.read_text()))
 
     @pytest.mark.parametrize("path", SOURCES, ids=file_id)
-    def test_public_items(self, path):
-        bare = [
+    def test_public_definitions(self, path):
+        undocumented = [
             node.name
             for node in ast.parse(path.read_text()).body
             if isinstance(node, DEFINITIONS)
             and not node.name.startswith("_")
             and not ast.get_docstring(node)
         ]
-        assert not bare
+        assert not undocumented
