--- a/rattanridge/cli/measure.py
+++ b/rattanridge/cli/measure.py
@@ -87,7 +87,7 @@
         directory.mkdir(parents=True, exist_ok=True)
     records = []
     for name in base.EXPERIMENTS.names():
-        base.progress(f"measure: {name}")
+        base.print_progress(f"measure: {name}")
         record = run_one(name, parameters)
         records.append(record)
         show(record, as_json)
--- a/rattanridge/measure/__init__.py
+++ b/rattanridge/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: experiments with a seed, figures and a target, one command each."""
+"""Experiments that measure the system and compare the figures with targets."""
--- a/rattanridge/measure/base.py
+++ b/rattanridge/measure/base.py
@@ -1,4 +1,4 @@
-"""What every experiment shares: its parameters, its result and their registry."""
+"""Parameters, results and registry of the experiments, and helpers they share."""
 
 import collections.abc
 import dataclasses
@@ -13,11 +13,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Parameters:
-    """What a person may set for each experiment.
+    """Parameters that the command line sets for an experiment.
 
     :param seed: seed of all random choices.
-    :param size: the experiment's size; 0 takes its default.
-    :param seconds: seconds that it may take; 0 takes its default.
+    :param size: number of nodes, requests or runs, depending on the experiment;
+        0 selects its default.
+    :param seconds: duration in seconds, for experiments that measure over a fixed
+        time; 0 selects the default.
     """
 
     seed: int = 1
@@ -26,10 +28,13 @@
 
 
 class Result(msgspec.Struct):
-    """Outcome of an experiment; printed as one line of JSON.
+    """Result of an experiment, printed as one line of JSON.
 
-    :param figures: what was measured, by name with its unit.
-    :param target: what the letter or the brief asks for, by the same names.
+    :param name: name of the experiment.
+    :param runs: number of simulated runs; 1 for an experiment that is not simulated.
+    :param figures: measured values by name; the name ends with the unit, if any.
+    :param target: required values, under the names of the figures they apply to.
+    :param ok: whether every target was met.
     """
 
     name: str
@@ -44,22 +49,25 @@
 EXPERIMENTS: registry.Registry[Experiment] = registry.Registry("measurement")
 
 
-def percentile(values: collections.abc.Iterable[float], part: float) -> float:
-    """Return the value at a rank, the nearest above; 0 for no values."""
+def percentile(values: collections.abc.Iterable[float], fraction: float) -> float:
+    """Return a percentile by the nearest-rank method; 0 if there are no values.
+
+    :param fraction: rank of the percentile from 0 to 1, such as 0.99.
+    """
     ordered = sorted(values)
     if not ordered:
         return 0.0
-    return ordered[min(math.ceil(part * len(ordered)), len(ordered)) - 1]
+    return ordered[min(math.ceil(fraction * len(ordered)), len(ordered)) - 1]
 
 
-def private_memory() -> float:
-    """Return this process's private memory in MB."""
+def read_private_memory_mib() -> float:
+    """Return the anonymous resident memory of this process in MiB."""
     for line in pathlib.Path("/proc/self/status").read_text().splitlines():
         if line.startswith("RssAnon:"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def progress(text: str) -> None:
-    """Tell a person on standard error how far an experiment is."""
+def print_progress(text: str) -> None:
+    """Print the progress of an experiment to standard error."""
     print(text, file=sys.stderr, flush=True)
--- a/rattanridge/measure/latency.py
+++ b/rattanridge/measure/latency.py
@@ -1,4 +1,4 @@
-"""``added-latency``: what the mesh adds to a call, against no mesh."""
+"""Experiment ``added-latency``: the latency that the mesh adds to a direct call."""
 
 import asyncio
 import random
@@ -9,104 +9,121 @@
 from rattanridge.measure import base, processes
 from rattanridge.standin import upstream as upstreams
 
-TARGET_MS = 1.8
-SECONDS = 18.0
-RATES = (1, 70, 300)  # calls a second at each node
+TARGET_MS = 1.8  # added at the 99th percentile
+DEFAULT_SECONDS = 18.0
+RATES = (1, 70, 300)  # calls per second, on one path at a time
 SERVICE = "registry"
-WAYS = ("direct", "local", "two_hop", "bare_two_hop")
-NODES = ("beside", "apart")  # started right after the store
-COST_CALLS = 1500
-CONNECTIONS = 500  # of idle callers
-BLOCKS = 6  # turns of each way at each rate, so that noise hits all alike
-WARM_CALLS = 200
+# Names of the call paths, used in figures. "direct" calls the upstream without the
+# mesh, "local" the node of the upstream, "two_hop" a node that forwards to that node,
+# and "bare_two_hop" two plain forwarders in a row.
+PATHS = ("direct", "local", "two_hop", "bare_two_hop")
+NODES = ("beside", "apart")  # in order of start, directly after the store
+COST_CALLS = 1500  # per path, to measure CPU time
+CONNECTIONS = 500  # idle connections, to measure their memory
+BLOCKS = 6  # per path and rate; the paths alternate, so that noise affects all alike
+WARM_UP_CALLS = 200  # per path
 PERCENTILES = (("p50", 0.5), ("p99", 0.99), ("p999", 0.999))
 
 
 @base.EXPERIMENTS.register("added-latency")
 def measure(parameters: base.Parameters) -> base.Result:
-    """Time calls straight to the upstream, over one node and over two, each a
-    process of its own; two bare forwarders show what the transport alone adds."""
-    seconds = parameters.seconds or SECONDS
+    """Measure the latency that one node and two nodes add to a direct call.
+
+    Each node is a process of its own. Two plain forwarders show the latency that the
+    transport alone adds. CPU time per call and memory are measured too.
+    """
+    seconds = parameters.seconds or DEFAULT_SECONDS
     figures = asyncio.run(run(parameters.seed, seconds))
     target = {
-        f"rate{rate}_{way}_added_p99_ms": TARGET_MS
+        f"rate{rate}_{path}_added_p99_ms": TARGET_MS
         for rate in RATES
-        for way in ("local", "two_hop")
+        for path in ("local", "two_hop")
     }
     ok = all(figures[name] <= limit for name, limit in target.items())
     return base.Result("added-latency", parameters.seed, 1, figures, target, ok)
 
 
 async def run(seed: int, seconds: float) -> dict[str, float]:
-    """Start the processes and measure each rate."""
+    """Start the processes, measure each rate, CPU time and memory; return the figures.
+
+    :param seconds: duration of the latency measurement, divided among the rates.
+    """
     figures: dict[str, float] = {}
-    async with processes.Processes() as started, aiohttp.ClientSession() as session:
-        addresses = await start(started)
+    async with processes.ProcessGroup() as group, aiohttp.ClientSession() as session:
+        addresses = await start_mesh(group)
         await warm_up(session, addresses)
         rng = random.Random(seed)
         for rate in RATES:
-            base.progress(f"added-latency: {rate} calls a second")
-            samples = await sample(session, addresses, rate, seconds / len(RATES), rng)
+            base.print_progress(f"added-latency: {rate} calls per second")
+            samples = await collect_samples(
+                session, addresses, rate, seconds / len(RATES), rng
+            )
             add_figures(figures, rate, samples)
-        figures |= await cost(started, session, addresses)
-        figures |= await connection_cost(started, addresses)
+        figures |= await measure_cpu_time(group, session, addresses)
+        figures |= await measure_memory(group, addresses)
     return figures
 
 
-async def start(started: processes.Processes) -> dict[str, str]:
-    """Start a store, two nodes and an upstream; return the address of each way."""
-    store = await started.start(processes.StorePart([SERVICE]))
+async def start_mesh(group: processes.ProcessGroup) -> dict[str, str]:
+    """Start a store, two nodes, an upstream and two forwarders.
+
+    Return the address ``host:port`` at which each path begins.
+    """
+    store = await group.start(processes.StoreComponent([SERVICE]))
     configs = [
         processes.make_settings("beside", store, SERVICE),
         processes.make_settings("apart", store, "caller"),
     ]
-    nodes = [await started.start(processes.NodePart(config)) for config in configs]
+    nodes = [await group.start(processes.NodeComponent(config)) for config in configs]
     shape = upstreams.Shape(SERVICE, slots=12, work=0.0)
-    beside = configs[0]
-    upstream = await started.start(
-        processes.UpstreamPart(shape, beside.upstream, beside.listen.heartbeats)
+    local = configs[0]
+    upstream = await group.start(
+        processes.UpstreamComponent(shape, local.upstream, local.listen.heartbeats)
     )
-    inner = await started.start(processes.ForwarderPart(upstream))
-    outer = await started.start(processes.ForwarderPart(inner))
-    return dict(zip(WAYS, [upstream, *nodes, outer], strict=True))
+    inner = await group.start(processes.ForwarderComponent(upstream))
+    outer = await group.start(processes.ForwarderComponent(inner))
+    return dict(zip(PATHS, [upstream, *nodes, outer], strict=True))
 
 
 async def warm_up(session: aiohttp.ClientSession, addresses: dict[str, str]) -> None:
-    """Call until every node knows the endpoint, and some more."""
-    async with asyncio.timeout(processes.START_LIMIT):
+    """Call each path until it succeeds, and then ``WARM_UP_CALLS`` times.
+
+    The first calls fail until the nodes have read the configuration and the endpoint.
+    """
+    async with asyncio.timeout(processes.START_TIMEOUT):
         for address in addresses.values():
             while not await call(session, address):
-                await asyncio.sleep(processes.STEP)
+                await asyncio.sleep(processes.POLL_INTERVAL)
     for address in addresses.values():
-        for _ in range(WARM_CALLS):
+        for _ in range(WARM_UP_CALLS):
             await call(session, address)
 
 
-async def cost(
-    started: processes.Processes,
+async def measure_cpu_time(
+    group: processes.ProcessGroup,
     session: aiohttp.ClientSession,
     addresses: dict[str, str],
 ) -> dict[str, float]:
-    """Return the processor microseconds of one call at each node."""
+    """Return the CPU time in microseconds that a call takes at each node."""
     figures = {}
-    for way in WAYS[1:3]:
-        before = started.processor()
+    for path in PATHS[1:3]:
+        before = group.cpu_seconds()
         for _ in range(COST_CALLS):
-            await call(session, addresses[way])
-        after = started.processor()
+            await call(session, addresses[path])
+        after = group.cpu_seconds()
         for name in NODES:
-            place = 1 + NODES.index(name)
-            spent = (after[place] - before[place]) / COST_CALLS
-            figures[f"{way}_{name}_us_per_call"] = round(spent * 1e6)
+            index = 1 + NODES.index(name)
+            spent = (after[index] - before[index]) / COST_CALLS
+            figures[f"{path}_{name}_us_per_call"] = round(spent * 1e6)
     return figures
 
 
-async def connection_cost(
-    started: processes.Processes, addresses: dict[str, str]
+async def measure_memory(
+    group: processes.ProcessGroup, addresses: dict[str, str]
 ) -> dict[str, float]:
-    """Return the memory of a node, and of one idle caller's connection to it."""
-    place = 1 + NODES.index("beside")
-    before = started.memory()[place]
+    """Return the memory of a node in MB, and of one idle connection to it in kB."""
+    index = 1 + NODES.index("beside")
+    before = group.memory_kib()[index]
     host, _, port = addresses["local"].rpartition(":")
     request = f"GET /{SERVICE}/crest/17 HTTP/1.1\r\nHost: x\r\n\r\n".encode()
     writers = []
@@ -115,7 +132,7 @@
         writer.write(request)
         await reader.readuntil(b"\r\n\r\n")
         writers.append(writer)
-    after = started.memory()[place]
+    after = group.memory_kib()[index]
     for writer in writers:
         writer.close()
     return {
@@ -124,30 +141,41 @@
     }
 
 
-async def sample(
+async def collect_samples(
     session: aiohttp.ClientSession,
     addresses: dict[str, str],
     rate: int,
     seconds: float,
     rng: random.Random,
 ) -> dict[str, list[float]]:
-    """Return milliseconds of each way's calls; the ways take turns."""
-    samples: dict[str, list[float]] = {way: [] for way in addresses}
+    """Call the paths in alternating blocks; return the latencies in ms by path.
+
+    :param rate: calls per second.
+    :param seconds: duration of all blocks together.
+    """
+    samples: dict[str, list[float]] = {path: [] for path in addresses}
     block = seconds / len(addresses) / BLOCKS
     for _ in range(BLOCKS):
-        for way, address in addresses.items():
-            samples[way] += await offer(session, address, rate, block, rng)
+        for path, address in addresses.items():
+            samples[path] += await generate_load(session, address, rate, block, rng)
     return samples
 
 
-async def offer(
+async def generate_load(
     session: aiohttp.ClientSession,
     address: str,
     rate: int,
     seconds: float,
     rng: random.Random,
 ) -> list[float]:
-    """Offer calls at random moments, whether earlier ones ended or not."""
+    """Start calls at random intervals; return their latencies in ms.
+
+    The load is open-loop: a call does not wait until earlier ones have ended. At
+    least one call is made.
+
+    :param rate: calls per second.
+    :param seconds: duration in which calls are started.
+    """
     loop = asyncio.get_running_loop()
     tasks = []
     due = loop.time()
@@ -157,20 +185,25 @@
         if due > end and tasks:
             break
         await asyncio.sleep(due - loop.time())
-        tasks.append(loop.create_task(timed(session, address)))
+        tasks.append(loop.create_task(time_call(session, address)))
     return await asyncio.gather(*tasks)
 
 
-async def timed(session: aiohttp.ClientSession, address: str) -> float:
-    """Make one call; return its milliseconds."""
+async def time_call(session: aiohttp.ClientSession, address: str) -> float:
+    """Make one call; return its latency in ms.
+
+    Raise ``RuntimeError`` if the call fails.
+    """
     began = time.perf_counter()
     if not await call(session, address):
-        raise RuntimeError("a call was refused while latency was measured")
+        raise RuntimeError(
+            "a call of the latency measurement was not answered with status 200"
+        )
     return (time.perf_counter() - began) * 1000
 
 
 async def call(session: aiohttp.ClientSession, address: str) -> bool:
-    """Make one call; return whether the upstream answered it."""
+    """Make one call; return whether it was answered with status 200."""
     async with session.get(f"http://{address}/{SERVICE}/crest/17") as response:
         await response.read()
         return response.status == 200
@@ -179,11 +212,11 @@
 def add_figures(
     figures: dict[str, float], rate: int, samples: dict[str, list[float]]
 ) -> None:
-    """Add percentiles of each way, and what the mesh adds to them."""
+    """Add percentiles of direct calls, and what each other path adds to them."""
     figures[f"rate{rate}_calls"] = len(samples["direct"])
-    for name, part in PERCENTILES:
-        direct = base.percentile(samples["direct"], part)
+    for name, fraction in PERCENTILES:
+        direct = base.percentile(samples["direct"], fraction)
         figures[f"rate{rate}_direct_{name}_ms"] = round(direct, 3)
-        for way in WAYS[1:]:
-            value = base.percentile(samples[way], part)
-            figures[f"rate{rate}_{way}_added_{name}_ms"] = round(value - direct, 3)
+        for path in PATHS[1:]:
+            value = base.percentile(samples[path], fraction)
+            figures[f"rate{rate}_{path}_added_{name}_ms"] = round(value - direct, 3)
--- a/rattanridge/measure/processes.py
+++ b/rattanridge/measure/processes.py
@@ -1,6 +1,7 @@
-"""A small mesh as plain processes: store, nodes and upstreams, one each.
+"""A small mesh of separate processes: store, nodes, upstreams and forwarders.
 
-The measuring process starts them, so that they do not share its event loop.
+Each component runs in a process of its own, so that it does not share the event loop
+of the process that measures.
 """
 
 import asyncio
@@ -19,59 +20,73 @@
 from rattanridge.platform import store as stores
 from rattanridge.standin import fleet, metadata, upstream as upstreams
 
-START_LIMIT = 30.0  # seconds
-STOP_LIMIT = 5.0  # seconds
-STEP = 0.01  # seconds between looks
+START_TIMEOUT = 30.0  # seconds
+STOP_TIMEOUT = 5.0  # seconds
+POLL_INTERVAL = 0.01  # seconds
 
 SPAWN = multiprocessing.get_context("spawn")
 
 
-class Part(typing.Protocol):
-    """What one process runs; ``start`` returns its address ``host:port``."""
+class Component(typing.Protocol):
+    """Server that one process runs."""
 
-    async def start(self) -> str: ...
+    async def start(self) -> str:
+        """Start the server; return its address ``host:port``."""
+        ...
 
 
 @dataclasses.dataclass(slots=True)
-class StorePart:
-    """The store's stand-in, with one preset in force.
+class StoreComponent:
+    """Stand-in of the store, with one preset in force.
 
-    :param services: that the preset has routes to.
+    :param services: names of the services that the preset has routes to.
+    :param server: the running stand-in; None before the start.
     """
 
     services: list[str]
-    served: metadata.Metadata | None = None
+    server: metadata.Metadata | None = None
 
     async def start(self) -> str:
-        """Start the stand-in and choose the preset."""
-        self.served = metadata.Metadata()
-        await self.served.start()
-        reached = stores.Store(self.served.address)
-        operations = preset_store.Presets(reached)
+        """Start the stand-in and put the preset in force; return its address."""
+        self.server = metadata.Metadata()
+        await self.server.start()
+        store = stores.Store(self.server.address)
+        operations = preset_store.Presets(store)
         preset = fleet.make_preset("day", self.services)
         await operations.put("day", fleet.preset_text(preset), "olga")
         await operations.use("day", "olga")
-        await reached.close()
-        return self.served.address
+        await store.close()
+        return self.server.address
 
 
 @dataclasses.dataclass(slots=True)
-class NodePart:
-    """One node alone."""
+class NodeComponent:
+    """A node, without its upstream.
+
+    :param config: settings of the node.
+    :param node: the running node; None before the start.
+    """
 
     config: settings.Settings
     node: nodes.Node | None = None
 
     async def start(self) -> str:
-        """Start it; return the callers' address."""
+        """Start the node; return the address of its listener for callers."""
         self.node = nodes.Node(self.config)
         await self.node.start()
         return self.config.listen.callers
 
 
 @dataclasses.dataclass(slots=True)
-class UpstreamPart:
-    """One upstream; without a node it is called directly."""
+class UpstreamComponent:
+    """Stand-in of an upstream.
+
+    :param shape: service and capacity of the upstream.
+    :param address: ``host:port`` to listen at.
+    :param node: ``host:port`` to which heartbeats are sent; empty for an upstream
+        that is only called directly.
+    :param running: the running upstream; None before the start.
+    """
 
     shape: upstreams.Shape
     address: str
@@ -79,17 +94,21 @@
     running: upstreams.Upstream | None = None
 
     async def start(self) -> str:
-        """Start it; return its address."""
+        """Start the upstream; return its address."""
         self.running = upstreams.Upstream(self.shape, self.node)
         await self.running.start(self.address)
         return self.running.address
 
 
 @dataclasses.dataclass(slots=True)
-class ForwarderPart:
-    """A bare forwarder of the HTTP library, without any decision: the floor.
+class ForwarderComponent:
+    """Plain HTTP forwarder, built on the same HTTP library as a node.
+
+    It makes no decisions, so its latency is the minimum that the transport adds.
 
     :param target: ``host:port`` to forward to.
+    :param session: session for the forwarded requests; None before the start.
+    :param runner: runner of the server; None before the start.
     """
 
     target: str
@@ -97,10 +116,10 @@
     runner: aiohttp.web.ServerRunner | None = None
 
     async def start(self) -> str:
-        """Start it; return its address."""
+        """Start the forwarder on a free port; return its address."""
         self.session = aiohttp.ClientSession(auto_decompress=False)
-        served = aiohttp.web.Server(self.forward, access_log=None)
-        self.runner = aiohttp.web.ServerRunner(served)
+        server = aiohttp.web.Server(self.forward, access_log=None)
+        self.runner = aiohttp.web.ServerRunner(server)
         await self.runner.setup()
         await aiohttp.web.TCPSite(self.runner, fleet.LOOPBACK, 0).start()
         return f"{fleet.LOOPBACK}:{self.runner.addresses[0][1]}"
@@ -108,40 +127,48 @@
     async def forward(
         self, request: aiohttp.web.BaseRequest
     ) -> aiohttp.web.StreamResponse:
-        """Forward one request."""
+        """Forward a request without its headers and body; return status and body."""
         url = f"http://{self.target}{request.raw_path}"
-        async with self.session.request(request.method, url) as got:
-            return aiohttp.web.Response(status=got.status, body=await got.read())
+        async with self.session.request(request.method, url) as response:
+            return aiohttp.web.Response(
+                status=response.status, body=await response.read()
+            )
 
 
-def work(part: Part, pipe: multiprocessing.connection.Connection) -> None:
-    """Run a part until the pipe closes; the body of a process."""
+def run_component(
+    component: Component, pipe: multiprocessing.connection.Connection
+) -> None:
+    """Run a component until the pipe closes.
+
+    This is the main function of a process. It sends the component's address over the
+    pipe after the start.
+    """
 
     async def run() -> None:
-        pipe.send(await part.start())
+        pipe.send(await component.start())
         loop = asyncio.get_running_loop()
-        ended = asyncio.Event()
-        loop.add_reader(pipe.fileno(), ended.set)
-        await ended.wait()
+        closed = asyncio.Event()
+        loop.add_reader(pipe.fileno(), closed.set)
+        await closed.wait()
 
     asyncio.run(run())
 
 
-class Processes:
-    """Starts parts as processes, and ends them."""
+class ProcessGroup:
+    """Starts components in processes of their own and stops them on exit."""
 
     def __init__(self) -> None:
         self.started: list[tuple[multiprocessing.Process, object]] = []
 
-    def processor(self) -> list[float]:
-        """Return the processor seconds that each process used so far."""
-        return [read_processor(process.pid) for process, _ in self.started]
+    def cpu_seconds(self) -> list[float]:
+        """Return the CPU seconds used so far by each process, in order of start."""
+        return [read_cpu_seconds(process.pid) for process, _ in self.started]
 
-    def memory(self) -> list[float]:
-        """Return the private memory of each process in kB."""
-        return [read_memory(process.pid) for process, _ in self.started]
+    def memory_kib(self) -> list[float]:
+        """Return the private memory of each process in KiB, in order of start."""
+        return [read_memory_kib(process.pid) for process, _ in self.started]
 
-    async def __aenter__(self) -> "Processes":
+    async def __aenter__(self) -> "ProcessGroup":
         return self
 
     async def __aexit__(self, *error: object) -> None:
@@ -149,33 +176,40 @@
             pipe.close()
             process.terminate()
         for process, _ in self.started:
-            await asyncio.to_thread(process.join, STOP_LIMIT)
+            await asyncio.to_thread(process.join, STOP_TIMEOUT)
             if process.is_alive():
                 process.kill()
 
-    async def start(self, part: Part) -> str:
-        """Start a part; return where it listens."""
-        ours, theirs = SPAWN.Pipe()
-        process = SPAWN.Process(target=work, args=(part, theirs), daemon=True)
-        process.start()
-        theirs.close()
-        self.started.append((process, ours))
-        if not await asyncio.to_thread(ours.poll, START_LIMIT):
-            raise TimeoutError(f"{type(part).__name__} did not start")
-        return ours.recv()
+    async def start(self, component: Component) -> str:
+        """Start a component; return its address ``host:port``.
 
-
-def read_memory(number: int) -> float:
-    """Return a process's private memory in kB."""
-    for line in pathlib.Path(f"/proc/{number}/status").read_text().splitlines():
+        Raise ``TimeoutError`` if it does not start within ``START_TIMEOUT``.
+        """
+        parent_end, child_end = SPAWN.Pipe()
+        process = SPAWN.Process(
+            target=run_component, args=(component, child_end), daemon=True
+        )
+        process.start()
+        child_end.close()
+        self.started.append((process, parent_end))
+        if not await asyncio.to_thread(parent_end.poll, START_TIMEOUT):
+            raise TimeoutError(
+                f"{type(component).__name__} did not start within {START_TIMEOUT:.0f} s"
+            )
+        return parent_end.recv()
+
+
+def read_memory_kib(pid: int) -> float:
+    """Return the anonymous resident memory of a process in KiB."""
+    for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("RssAnon:"):
             return float(line.split()[1])
     return 0.0
 
 
-def read_processor(number: int) -> float:
-    """Return a process's user and system seconds."""
-    text = pathlib.Path(f"/proc/{number}/stat").read_text()
+def read_cpu_seconds(pid: int) -> float:
+    """Return the user and system CPU time of a process in seconds."""
+    text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     user, system = text.rpartition(")")[2].split()[11:13]
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
 
@@ -183,7 +217,7 @@
 def make_settings(
     name: str, store: str, service: str, zone: str = "zone-a", **more: object
 ) -> settings.Settings:
-    """Return a node's settings for a measurement."""
+    """Return the settings of a node; ``more`` sets further fields."""
     addresses = [next(fleet.ADDRESSES) for _ in range(6)]
     return settings.Settings(
         name=name,
--- a/rattanridge/measure/results.py
+++ b/rattanridge/measure/results.py
@@ -1,4 +1,4 @@
-"""What a measurement leaves: its command, the machine's size, tables."""
+"""Records of measurements, and their output as JSON, Markdown and text tables."""
 
 import collections.abc
 import os
@@ -14,9 +14,13 @@
 
 
 class Machine(msgspec.Struct):
-    """The size of the machine that a measurement ran on.
+    """Description of the machine that a measurement ran on.
 
-    :param load: processes that wanted a core in the minute before.
+    :param cores: CPU cores that this process may use.
+    :param memory_mib: physical memory in MiB.
+    :param system: name of the operating system.
+    :param python: version of Python.
+    :param load: load average of the minute before the measurement.
     """
 
     cores: int
@@ -33,10 +37,13 @@
 
 
 class Record(msgspec.Struct):
-    """One measurement as it is kept.
+    """A finished measurement, as stored in a JSON file.
 
-    :param seconds: wall-clock seconds that the run took.
-    :param error: why there is no result; empty if there is one.
+    :param name: name of the experiment.
+    :param command: command that repeats the measurement.
+    :param seconds: wall-clock duration in seconds.
+    :param result: result of the experiment; None if it raised an error.
+    :param error: type and message of that error; empty if there is a result.
     """
 
     name: str
@@ -48,17 +55,18 @@
 
     @property
     def outcome(self) -> str:
+        """Return whether the targets were met, or why there is no result."""
         if self.result is None:
             return f"failed: {self.error}"
         return "ok" if self.result.ok else "target missed"
 
 
 def this_machine() -> Machine:
-    """Return the size of this machine."""
-    pages = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
+    """Return the description of the current machine."""
+    memory_bytes = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
     return Machine(
         len(os.sched_getaffinity(0)),
-        pages // MEBIBYTE,
+        memory_bytes // MEBIBYTE,
         platform.system(),
         platform.python_version(),
         round(os.getloadavg()[0], 1),
@@ -66,7 +74,7 @@
 
 
 def command_of(name: str, parameters: base.Parameters) -> str:
-    """Return the command that runs a measurement again."""
+    """Return the command line that repeats a measurement."""
     parts = ["rattanridge", "measure", name, "--seed", str(parameters.seed)]
     if parameters.size:
         parts += ["--size", str(parameters.size)]
@@ -76,19 +84,19 @@
 
 
 def save(record: Record, directory: pathlib.Path) -> None:
-    """Write one record as JSON."""
+    """Write a record to the file ``NAME.json`` in a directory."""
     text = msgspec.json.format(msgspec.json.encode(record))
     (directory / f"{record.name}.json").write_bytes(text + b"\n")
 
 
 def format_page(records: collections.abc.Sequence[Record]) -> str:
-    """Return the page ``docs/MEASURED.md`` for some records."""
+    """Return the text of the Markdown page ``docs/MEASURED.md``."""
     lines = [
         "# Measured",
         "",
-        "Written by `rattanridge measure all --out DIR`. Targets are the users',",
-        "never a measured figure. A figure without a target is told for its own sake",
-        "or as the baseline of the same run.",
+        "Written by `rattanridge measure all --out DIR`. Targets come from",
+        "the requirements, never from a measured figure. A figure without a target is",
+        "given for information, or as the baseline of the same run.",
     ]
     for record in records:
         lines += ["", *format_record(record)]
@@ -96,7 +104,7 @@
 
 
 def format_record(record: Record) -> list[str]:
-    """Return one measurement's section of the page."""
+    """Return the lines of a measurement's section of the Markdown page."""
     lines = [
         f"## {record.name}: {record.outcome}",
         "",
@@ -114,12 +122,12 @@
 
 
 def format_table(result: base.Result) -> list[str]:
-    """Return figures and targets as a plain table for a terminal."""
+    """Return the lines of a text table of figures and targets, for a terminal."""
     width = max(map(len, result.figures), default=0)
     lines = [f"{result.name} seed {result.seed} runs {result.runs}"]
     for name, value in result.figures.items():
         target = result.target.get(name)
-        shown = f"  (target {target})" if target is not None else ""
-        lines.append(f"{name:<{width}}  {value}{shown}")
+        suffix = f"  (target {target})" if target is not None else ""
+        lines.append(f"{name:<{width}}  {value}{suffix}")
     lines.append("ok" if result.ok else "target missed")
     return lines
--- a/rattanridge/measure/rollouts.py
+++ b/rattanridge/measure/rollouts.py
@@ -1,8 +1,8 @@
-"""``rollouts``: good versions completed in time, bad ones taken back.
+"""Experiment ``rollouts``: whether good versions complete and bad ones are rolled back.
 
-A model of one service in virtual time: only the ramp and the verdict are the
-system's own. The number of runs is fixed, so a seed gives the same figures on
-every machine.
+Simulates one service in virtual time. Only the ramp and the detection of faults are
+code of the system; requests and coordinator are a model. The number of runs does not
+depend on time, so a seed gives the same figures on every machine.
 """
 
 import collections.abc
@@ -14,11 +14,11 @@
 from rattanridge.policies import evidence, ramp as ramps
 
 ROUNDS = 40  # runs of each scenario in each deployment
-STEP = 0.35  # seconds between two looks of the coordinator
-DELAY = 0.5  # seconds until a share that was written is in force at all entries
-SPREAD = 0.5  # of the logarithm of times
-EXPOSURE_SHARE = 0.1  # of all requests that a bad version may get
-EXPOSURE_SLACK = 50  # requests
+POLL_INTERVAL = 0.35  # seconds between two evaluations by the coordinator
+APPLY_DELAY = 0.5  # seconds until a written share is in force at all entries
+LATENCY_SIGMA = 0.5  # standard deviation of the logarithm of latencies
+EXPOSURE_SHARE = 0.1  # of all requests, the most that a bad version may get
+EXPOSURE_SLACK = 50  # requests that it may get on top
 TARGET = {
     "good_in_time_percent": 99.0,
     "bad_taken_back_percent": 99.0,
@@ -28,10 +28,12 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Deployment:
-    """One service.
+    """A service and the duration of its rollout.
 
-    :param routes: requests a second and mean seconds of work, for each route.
-    :param duration: seconds that the order allows.
+    :param routes: requests per second and median processing time in seconds, for
+        each route.
+    :param endpoints: number of endpoints of the new version.
+    :param duration: seconds in which the rollout has to be completed.
     """
 
     name: str
@@ -50,61 +52,64 @@
 
 @dataclasses.dataclass(slots=True, frozen=True)
 class Scenario:
-    """What is wrong with the new version, or with both.
-
-    :param errors: part of the new version's requests that fail.
-    :param slow: factor of the new version's times.
-    :param late: seconds after the order from which the fault shows.
-    :param load: part of the requests above which it shows.
-    :param one_route: whether only the last route is hit.
-    :param both: part of both versions' requests that fail, as in an overload.
+    """The faults of the new version, or of both versions.
+
+    :param error_rate: fraction of the new version's requests that fail.
+    :param latency_factor: factor on the new version's latencies.
+    :param fault_delay: seconds after the start of the rollout until the fault occurs.
+    :param min_share: share of the requests from which the fault occurs.
+    :param last_route_only: whether only the last route has the fault.
+    :param common_error_rate: fraction of both versions' requests that fail, as in an
+        overload.
     """
 
     name: str
-    errors: float = 0.0
-    slow: float = 1.0
-    late: float = 0.0
-    load: float = 0.0
-    one_route: bool = False
-    both: float = 0.0
+    error_rate: float = 0.0
+    latency_factor: float = 1.0
+    fault_delay: float = 0.0
+    min_share: float = 0.0
+    last_route_only: bool = False
+    common_error_rate: float = 0.0
 
-    def bad(self) -> bool:
-        """Whether the version has to be taken back."""
-        return self.errors > 0 or self.slow > 1
+    def is_bad(self) -> bool:
+        """Return whether the new version has to be rolled back."""
+        return self.error_rate > 0 or self.latency_factor > 1
 
 
 SCENARIOS = (
     Scenario("good"),
-    Scenario("good_in_overload", both=0.25),
-    Scenario("errors", errors=0.5),
-    Scenario("slow", slow=8.0),
-    Scenario("errors_late", errors=0.5, late=6.0),
-    Scenario("errors_under_load", errors=0.5, load=0.15),
-    Scenario("errors_on_one_route", errors=0.5, one_route=True),
-    Scenario("slow_under_load", slow=8.0, load=0.15),
+    Scenario("good_in_overload", common_error_rate=0.25),
+    Scenario("errors", error_rate=0.5),
+    Scenario("slow", latency_factor=8.0),
+    Scenario("errors_late", error_rate=0.5, fault_delay=6.0),
+    Scenario("errors_under_load", error_rate=0.5, min_share=0.15),
+    Scenario("errors_on_one_route", error_rate=0.5, last_route_only=True),
+    Scenario("slow_under_load", latency_factor=8.0, min_share=0.15),
 )
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """How one run ended.
+    """Outcome of one simulated rollout.
 
-    :param reached: requests that the new version got.
-    :param total: requests of the service in the order's time.
+    :param completed: whether the new version replaced the old one.
+    :param in_time: whether it did so within the duration of the rollout.
+    :param new_requests: requests that the new version got.
+    :param total_requests: mean number of requests to the service within the duration.
     """
 
     completed: bool
     in_time: bool
-    reached: int
-    total: float
+    new_requests: int
+    total_requests: float
 
-    def over_exposed(self) -> bool:
-        """Whether a bad version got more than it may."""
-        return self.reached > EXPOSURE_SHARE * self.total + EXPOSURE_SLACK
+    def is_over_exposed(self) -> bool:
+        """Return whether the new version got more requests than a bad one may."""
+        return self.new_requests > EXPOSURE_SHARE * self.total_requests + EXPOSURE_SLACK
 
 
-class Run:
-    """One rollout in virtual time."""
+class Simulation:
+    """Simulates one rollout in virtual time."""
 
     def __init__(self, deployment: Deployment, scenario: Scenario, rng: random.Random):
         self.deployment = deployment
@@ -113,82 +118,104 @@
         self.ramp = ramps.Ramp(deployment.duration)
         self.old: evidence.CountsByRoute = {}
         self.new: evidence.CountsByRoute = {}
-        self.reached = 0
+        self.new_requests = 0
 
     def run(self) -> Outcome:
-        """Play until the rollout ends."""
+        """Simulate until the rollout ends; return its outcome."""
         rate = sum(route[0] for route in self.deployment.routes)
-        total = rate * self.deployment.duration
-        shares = [0.0] * (1 + round(DELAY / STEP))
+        total_requests = rate * self.deployment.duration
+        # Shares that were written and are not in force yet, oldest first.
+        pending_shares = [0.0] * (1 + round(APPLY_DELAY / POLL_INTERVAL))
         while True:
-            self.ramp.elapsed += STEP
-            self.serve(shares.pop(0))
+            self.ramp.elapsed += POLL_INTERVAL
+            self.simulate_requests(pending_shares.pop(0))
             if evidence.find_fault(self.old, self.new):
                 break
             self.ramp.advance(self.deployment.endpoints, self.old, self.new)
             if self.ramp.done():
                 in_time = self.ramp.elapsed <= self.deployment.duration
-                return Outcome(True, in_time, self.reached, total)
+                return Outcome(True, in_time, self.new_requests, total_requests)
             if self.ramp.out_of_time():
                 break
-            shares.append(self.ramp.share(self.deployment.endpoints))
-        for share in shares:
-            self.serve(share)
-        return Outcome(False, False, self.reached, total)
+            pending_shares.append(self.ramp.share(self.deployment.endpoints))
+        for share in pending_shares:
+            self.simulate_requests(share)
+        return Outcome(False, False, self.new_requests, total_requests)
 
-    def serve(self, share: float) -> None:
-        """Let both versions serve for one step."""
+    def simulate_requests(self, share: float) -> None:
+        """Simulate the requests of one interval.
+
+        :param share: share of the requests that the new version gets.
+        """
         last = len(self.deployment.routes) - 1
         for index, (rate, work) in enumerate(self.deployment.routes):
-            hit = self.is_hit(share) and (index == last or not self.scenario.one_route)
+            faulty = self.is_fault_active(share) and (
+                index == last or not self.scenario.last_route_only
+            )
             name = f"r{index}"
-            calls = self.draw(rate * STEP)
-            fresh = sum(self.random.random() < share for _ in range(calls))
-            self.reached += fresh
-            self.add(self.old, name, calls - fresh, work, self.scenario.both)
-            errors = max(self.scenario.errors if hit else 0.0, self.scenario.both)
-            slow = self.scenario.slow if hit else 1.0
-            self.add(self.new, name, fresh, work * slow, errors)
-
-    def is_hit(self, share: float) -> bool:
-        """Whether the fault shows now."""
-        late = self.ramp.elapsed >= self.scenario.late
-        return late and share >= self.scenario.load
-
-    def add(
+            requests = self.draw_request_count(rate * POLL_INTERVAL)
+            to_new = sum(self.random.random() < share for _ in range(requests))
+            self.new_requests += to_new
+            self.record_requests(
+                self.old, name, requests - to_new, work, self.scenario.common_error_rate
+            )
+            error_rate = max(
+                self.scenario.error_rate if faulty else 0.0,
+                self.scenario.common_error_rate,
+            )
+            factor = self.scenario.latency_factor if faulty else 1.0
+            self.record_requests(self.new, name, to_new, work * factor, error_rate)
+
+    def is_fault_active(self, share: float) -> bool:
+        """Return whether the fault occurs at this time and share."""
+        delay_over = self.ramp.elapsed >= self.scenario.fault_delay
+        return delay_over and share >= self.scenario.min_share
+
+    def record_requests(
         self,
-        found: evidence.CountsByRoute,
+        counts_by_route: evidence.CountsByRoute,
         name: str,
-        calls: int,
+        requests: int,
         work: float,
-        errors: float,
+        error_rate: float,
     ) -> None:
-        """Count requests of one version."""
-        counts = found.setdefault(name, evidence.Counts())
-        for _ in range(calls):
-            failed = self.random.random() < errors
-            counts.record_call(failed, work * math.exp(self.random.gauss(0.0, SPREAD)))
-
-    def draw(self, mean: float) -> int:
-        """Draw the number of requests of one step."""
+        """Record simulated requests to one version on one route.
+
+        :param name: name of the route.
+        :param work: median processing time in seconds.
+        """
+        counts = counts_by_route.setdefault(name, evidence.Counts())
+        for _ in range(requests):
+            failed = self.random.random() < error_rate
+            counts.record_call(
+                failed, work * math.exp(self.random.gauss(0.0, LATENCY_SIGMA))
+            )
+
+    def draw_request_count(self, mean: float) -> int:
+        """Return a random number of requests for one interval."""
         return max(round(self.random.gauss(mean, math.sqrt(mean))), 0)
 
 
 @base.EXPERIMENTS.register("rollouts")
 def measure(parameters: base.Parameters) -> base.Result:
-    """Play each scenario in each deployment in virtual time."""
+    """Measure how many simulated rollouts end as they should: good versions completed
+    in time, bad ones rolled back before they get too many requests."""
     rounds = parameters.size or ROUNDS
     figures: dict[str, float | int | str] = {}
     outcomes: dict[str, list[Outcome]] = {}
     for scenario in SCENARIOS:
-        found = outcomes[scenario.name] = list(play(parameters.seed, scenario, rounds))
-        reached = [100 * item.reached / item.total for item in found]
-        good = sum(item.in_time for item in found)
-        taken = sum(not item.completed for item in found)
-        ended = taken if scenario.bad() else good
-        figures[f"{scenario.name}_right"] = f"{ended}/{len(found)}"
+        ended = outcomes[scenario.name] = list(
+            simulate(parameters.seed, scenario, rounds)
+        )
+        new_percents = [
+            100 * outcome.new_requests / outcome.total_requests for outcome in ended
+        ]
+        in_time = sum(outcome.in_time for outcome in ended)
+        rolled_back = sum(not outcome.completed for outcome in ended)
+        correct = rolled_back if scenario.is_bad() else in_time
+        figures[f"{scenario.name}_right"] = f"{correct}/{len(ended)}"
         figures[f"{scenario.name}_reached_percent"] = round(
-            sum(reached) / len(reached), 2
+            sum(new_percents) / len(new_percents), 2
         )
     figures |= summarise(outcomes)
     ok = (
@@ -200,28 +227,42 @@
     return base.Result("rollouts", parameters.seed, runs, figures, TARGET, ok)
 
 
-def play(
+def simulate(
     seed: int, scenario: Scenario, rounds: int
 ) -> collections.abc.Iterator[Outcome]:
-    """Run one scenario in every deployment."""
+    """Yield the outcomes of a scenario, ``rounds`` times in every deployment."""
     for number in range(rounds):
         for deployment in DEPLOYMENTS:
             rng = random.Random(f"{seed}/{number}/{deployment.name}/{scenario.name}")
-            yield Run(deployment, scenario, rng).run()
+            yield Simulation(deployment, scenario, rng).run()
 
 
 def summarise(outcomes: dict[str, list[Outcome]]) -> dict[str, float]:
-    """Return the rates over all scenarios."""
-    bad = [item for s in SCENARIOS if s.bad() for item in outcomes[s.name]]
-    good = [item for s in SCENARIOS if not s.bad() for item in outcomes[s.name]]
+    """Return the figures over all scenarios, in percent."""
+    bad = [
+        outcome
+        for scenario in SCENARIOS
+        if scenario.is_bad()
+        for outcome in outcomes[scenario.name]
+    ]
+    good = [
+        outcome
+        for scenario in SCENARIOS
+        if not scenario.is_bad()
+        for outcome in outcomes[scenario.name]
+    ]
     return {
-        "good_in_time_percent": percent(item.in_time for item in good),
-        "bad_taken_back_percent": percent(not item.completed for item in bad),
-        "over_exposure_percent": percent(item.over_exposed() for item in bad),
+        "good_in_time_percent": percent_true(outcome.in_time for outcome in good),
+        "bad_taken_back_percent": percent_true(
+            not outcome.completed for outcome in bad
+        ),
+        "over_exposure_percent": percent_true(
+            outcome.is_over_exposed() for outcome in bad
+        ),
     }
 
 
-def percent(found: collections.abc.Iterable[bool]) -> float:
-    """Return the part of what holds, in percent."""
-    values = list(found)
+def percent_true(conditions: collections.abc.Iterable[bool]) -> float:
+    """Return the percentage of conditions that hold."""
+    values = list(conditions)
     return round(100 * sum(values) / len(values), 2)
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""The tool that runs measurements, with experiments that take no time."""
+"""The command ``measure``, with experiments that end at once."""
 
 import json
 
@@ -14,9 +14,9 @@
     """Meets
     its target.
 
-    More that the list leaves out.
+    The list does not show this paragraph.
     """
-    base.progress("half way")
+    base.print_progress("half way")
     return base.Result(
         "met", parameters.seed, 1, {"wait_ms": 1.5}, {"wait_ms": 2}, True
     )
@@ -30,19 +30,19 @@
 
 
 def broken(parameters):
-    """Ends by an error."""
+    """Raises an error."""
     raise RuntimeError("no fleet")
 
 
 @pytest.fixture(autouse=True)
 def experiments(monkeypatch):
-    """Only these experiments, whatever the package has."""
-    tiny = registry.Registry("measurement")
+    """Replace the registered experiments by those of this file."""
+    registered = registry.Registry("measurement")
     for experiment in (met, missed, broken):
-        tiny.register(experiment.__name__)(experiment)
+        registered.register(experiment.__name__)(experiment)
     monkeypatch.setattr(registry, "load_plugins", lambda package: None)
-    monkeypatch.setattr(base, "EXPERIMENTS", tiny)
-    return tiny
+    monkeypatch.setattr(base, "EXPERIMENTS", registered)
+    return registered
 
 
 def invoke(*arguments):
@@ -50,16 +50,16 @@
 
 
 class TestList:
-    def test_one_line_each(self):
+    def test_one_line_per_experiment(self):
         lines = invoke("list").output.splitlines()
         assert [line.split(maxsplit=1) for line in lines] == [
-            ["broken", "Ends by an error."],
+            ["broken", "Raises an error."],
             ["met", "Meets its target."],
             ["missed", "Misses its target."],
         ]
 
 
-class TestOne:
+class TestRunOne:
     @pytest.mark.parametrize(
         ("name", "status"), [("met", 0), ("missed", 1), ("broken", 3), ("none", 2)]
     )
@@ -79,17 +79,17 @@
         }
         assert "wait_ms  1.5  (target 2)" in run.stdout
 
-    def test_only_json(self):
+    def test_json_option_prints_only_json(self):
         run = invoke("met", "--json")
         assert len(run.stdout.splitlines()) == 1
         assert "half way" in run.stderr
 
-    def test_error_is_told(self):
+    def test_error_is_printed_to_stderr(self):
         run = invoke("broken", "--json")
         assert "RuntimeError: no fleet" in run.stderr
         assert not run.stdout
 
-    def test_unknown_name_tells_the_choices(self):
+    def test_unknown_name_lists_the_choices(self):
         run = invoke("none")
         assert str(codes.BAD_FIELD.number) in run.output
         assert "known: broken, met, missed" in run.output
@@ -99,18 +99,18 @@
         assert invoke("met", *option).exit_code == 2
 
 
-class TestAll:
-    def test_goes_on_after_an_error_and_keeps_all(self, tmp_path):
+class TestRunAll:
+    def test_continues_after_an_error_and_saves_all(self, tmp_path):
         out = tmp_path / "new" / "results"
         assert invoke("all", "--out", str(out), "--seconds", "2").exit_code == 3
-        kept = {path.stem: json.loads(path.read_text()) for path in out.glob("*.json")}
-        assert set(kept) == {"met", "missed", "broken"}
-        assert kept["broken"]["error"] == "RuntimeError: no fleet"
-        assert kept["met"]["result"]["figures"] == {"wait_ms": 1.5}
-        assert kept["met"]["command"] == (
+        saved = {path.stem: json.loads(path.read_text()) for path in out.glob("*.json")}
+        assert set(saved) == {"met", "missed", "broken"}
+        assert saved["broken"]["error"] == "RuntimeError: no fleet"
+        assert saved["met"]["result"]["figures"] == {"wait_ms": 1.5}
+        assert saved["met"]["command"] == (
             "rattanridge measure met --seed 1 --seconds 2"
         )
-        assert kept["met"]["machine"]["cores"] >= 1
+        assert saved["met"]["machine"]["cores"] >= 1
 
     def test_page(self, tmp_path):
         invoke("all", "--out", str(tmp_path))
@@ -130,8 +130,8 @@
 
 class TestPercentile:
     @pytest.mark.parametrize(
-        ("values", "part", "value"),
+        ("values", "fraction", "value"),
         [([], 0.5, 0.0), ([3], 0.99, 3), ([1, 2, 3, 4], 0.5, 2), ([1, 2], 1.0, 2)],
     )
-    def test_rank(self, values, part, value):
-        assert base.percentile(values, part) == value
+    def test_rank(self, values, fraction, value):
+        assert base.percentile(values, fraction) == value
