--- a/rattanridge/mesh/__init__.py
+++ b/rattanridge/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The node beside each upstream: takes, forwards, runs and answers requests."""
+"""The node of each host: accepts, routes, forwards and answers requests."""
--- a/rattanridge/mesh/claim.py
+++ b/rattanridge/mesh/claim.py
@@ -1,4 +1,4 @@
-"""One claim of a request with an idempotency key, as the store keeps it."""
+"""The claim of a request with an idempotency key, as the store holds it."""
 
 import enum
 
@@ -9,19 +9,19 @@
 from rattanridge.web import headers
 
 HASH_BYTES = 16
-ANSWER_MOST = 256_000  # bytes of a body that is recorded
+MAX_RECORDED_BYTES = 256_000  # of an answer's body; larger ones are not recorded
 
 
 class State(enum.StrEnum):
-    """What became of the sending that holds a claim."""
+    """State of the submission that holds a claim."""
 
     RUNNING = "running"
     DONE = "done"
     UNKNOWN = "unknown"
 
 
-class Recorded(msgspec.Struct):
-    """An answer that repeats get."""
+class RecordedAnswer(msgspec.Struct):
+    """The answer that is returned to repeated submissions."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -29,40 +29,44 @@
 
 
 class Claim(msgspec.Struct):
-    """One claim as the store keeps it.
+    """A claim as the store holds it.
 
-    :param digest: hash of the request; another one with the key is a conflict.
-    :param sending: random name of the sending that holds it.
-    :param ends: seconds since the epoch until which that one may still run.
+    :param digest: hash of the request. Another request with the key is a conflict.
+    :param sending: random id of the submission that holds the claim.
+    :param ends: seconds since the epoch until which that submission may still run.
+    :param answer: its answer, if one was recorded.
     """
 
     digest: str
     sending: str
     ends: float
     state: State = State.RUNNING
-    answer: Recorded | None = None
+    answer: RecordedAnswer | None = None
 
 
-def identify(call: calls.Call, key: str) -> str:
-    """Return the name of a request's claim."""
+def claim_name(call: calls.Call, key: str) -> str:
+    """Return the name of a request's claim.
+
+    The query is not part of it.
+    """
     path = call.path.partition("?")[0]
     return hash_texts(call.service, call.method, path, key)
 
 
 def digest(call: calls.Call) -> str:
-    """Return the hash of what a repeat must have in common."""
+    """Return the hash of what all submissions of a request have in common."""
     path = call.path.encode(errors="surrogateescape")
     return hashing.hash_parts(path, call.body, size=HASH_BYTES)
 
 
 def hash_texts(*texts: str) -> str:
-    """Return one hash over texts, whose borders count."""
+    """Return one hash of several texts, which depends on their boundaries."""
     parts = (text.encode(errors="surrogateescape") for text in texts)
     return hashing.hash_parts(*parts, size=HASH_BYTES)
 
 
 def encode(claim: Claim) -> bytes:
-    """Return a claim as the store keeps it."""
+    """Return a claim as the store holds it."""
     return msgspec.json.encode(claim)
 
 
@@ -71,15 +75,15 @@
     return untrusted_json.decode_or_none(data, Claim)
 
 
-def record(answer: calls.Answer) -> Recorded | None:
-    """Return an answer for the record, unless it is too large or none."""
-    if answer.code is not None or len(answer.body) > ANSWER_MOST:
+def record(answer: calls.Answer) -> RecordedAnswer | None:
+    """Return an answer to record; None if it is too large, or a refusal."""
+    if answer.code is not None or len(answer.body) > MAX_RECORDED_BYTES:
         return None
     kept = [(str(name), str(value)) for name, value in answer.headers]
-    return Recorded(answer.status, kept, answer.body)
+    return RecordedAnswer(answer.status, kept, answer.body)
 
 
-def replay(recorded: Recorded) -> calls.Answer:
-    """Return a recorded answer, marked as such."""
+def replay(recorded: RecordedAnswer) -> calls.Answer:
+    """Return a recorded answer, with the header that marks it as recorded."""
     kept = [*recorded.headers, (headers.RECORDED, "1")]
     return calls.Answer(recorded.status, kept, recorded.body)
--- a/rattanridge/mesh/claims.py
+++ b/rattanridge/mesh/claims.py
@@ -1,8 +1,8 @@
-"""Requests with an idempotency key run at most once in the whole fleet.
+"""Runs requests with an idempotency key at most once in the whole fleet.
 
-A claim is an object in the store, named after the key. Of several sendings of
-one request only the one that creates the object runs; the others get its
-recorded answer. Routes without a key source cost the store nothing.
+A claim is an object in the store, named after the key. If a request is submitted
+several times, only the submission that creates the object runs; the others get its
+recorded answer. Routes without a key source cause no calls to the store.
 """
 
 import asyncio
@@ -16,33 +16,33 @@
 from rattanridge.policies import keys
 
 KIND = "claims"
-POLL = 0.1  # seconds between looks at a claim whose first sending still runs
-LEAST_LEFT = 0.05  # seconds before the deadline at which waiting ends
-LATE = 30.0  # seconds after its deadline in which work may still end
-TELL_TRIES = 6
-TELL_PAUSE = 0.3  # seconds before an outcome is written again; doubles
-SWEEP_INTERVAL = 60.0  # seconds between two rounds of removing old claims
+POLL_INTERVAL = 0.1  # seconds between two reads of a claim whose holder still runs
+MIN_TIME_LEFT = 0.05  # seconds before the deadline at which waiting ends
+MAX_OVERRUN = 30.0  # seconds after its deadline for which work may still run
+WRITE_ATTEMPTS = 6
+FIRST_RETRY_DELAY = 0.3  # seconds before a failed write is retried; doubles
+SWEEP_INTERVAL = 60.0  # seconds between two removals of old claims
 
 Work = collections.abc.Callable[[], collections.abc.Awaitable[calls.Answer]]
 
 
 class Claims:
-    """Guards calls with a key.
+    """Guards calls that have a key against running twice.
 
-    :param leads: whether it is this node's turn to remove old claims.
+    :param is_sweeper: returns whether this node is the one to remove old claims.
     """
 
     def __init__(
         self,
         config: settings.Settings,
         store: stores.Store,
-        leads: collections.abc.Callable[[], bool],
+        is_sweeper: collections.abc.Callable[[], bool],
         log: events.Events,
         meters: events.Meters,
     ):
         self.config = config
         self.store = store
-        self.leads = leads
+        self.is_sweeper = is_sweeper
         self.log = log
         self.meters = meters
         self.tasks: set[asyncio.Task] = set()
@@ -51,31 +51,36 @@
     async def guard(
         self, call: calls.Call, route: routes.Route, work: Work
     ) -> calls.Answer:
-        """Run a call once its claim is granted, else answer or refuse it.
+        """Run a call if its claim is granted, else return the recorded answer.
 
-        The work goes on if the caller goes away: a repeat gets its answer. It does
-        not begin once the caller's time is over.
+        A call without a key runs without a claim. The work continues if the caller
+        disconnects, so that a later submission gets its answer. It does not start
+        after the caller's deadline.
+
+        Raise ``claim-unchecked`` if the claim could not be read or created, or if there
+        is no answer in time; ``key-conflict`` if another request used the key; and
+        ``already-accepted`` if the holder of the claim has left no recorded answer.
         """
         key = keys.read(route.key, calls.as_mapping(call.headers), call.body)
         if not key:
             self.meters.add("claims.no-key")
             return await work()
         self.used = True
-        task = self.begin(self.execute(call, key, work))
+        task = self.start_task(self.execute(call, key, work))
         try:
             async with asyncio.timeout_at(call.deadline + peers.ANSWER_MARGIN):
                 return await asyncio.shield(task)
         except TimeoutError:
-            raise unchecked(codes.Failure(codes.DEADLINE))
+            raise unchecked_failure(codes.Failure(codes.DEADLINE))
 
-    def begin(self, work: collections.abc.Coroutine) -> asyncio.Task:
-        """Run something that the caller's leaving does not end."""
+    def start_task(self, work: collections.abc.Coroutine) -> asyncio.Task:
+        """Run a coroutine that continues if the caller disconnects."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.finished)
+        task.add_done_callback(self.remove_task)
         return task
 
-    def finished(self, task: asyncio.Task) -> None:
+    def remove_task(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if task.cancelled():
             return
@@ -84,47 +89,50 @@
             self.log.error("claim-failed", why=repr(error))
 
     async def execute(self, call: calls.Call, key: str, work: Work) -> calls.Answer:
-        """Claim, run, and write what became of it."""
-        name = claiming.identify(call, key)
+        """Acquire the claim and run the work, or answer for the claim's holder."""
+        name = claiming.claim_name(call, key)
         left = call.deadline - asyncio.get_running_loop().time()
         own = claiming.Claim(
-            claiming.digest(call), secrets.token_hex(6), time.time() + left + LATE
+            claiming.digest(call),
+            secrets.token_hex(6),
+            time.time() + left + MAX_OVERRUN,
         )
         while True:
-            found, revision = await self.claim(call, name, own)
+            found, revision = await self.acquire(call, name, own)
             if found.sending == own.sending:
                 if call.deadline <= asyncio.get_running_loop().time():
-                    self.begin(self.withdraw(name, own))
-                    raise unchecked(codes.Failure(codes.DEADLINE))
+                    self.start_task(self.withdraw(name, own))
+                    raise unchecked_failure(codes.Failure(codes.DEADLINE))
                 self.log.note("claim-granted", id=call.attempt, claim=name)
                 return await self.run(name, revision, own, work)
-            answer = await self.answer(call, name, own, found)
+            answer = await self.answer_repeat(call, name, own, found)
             if answer is not None:
                 return answer
 
-    async def claim(
+    async def acquire(
         self, call: calls.Call, name: str, own: claiming.Claim
     ) -> tuple[claiming.Claim, int]:
         """Create a claim; return the one that the store holds, with its revision.
 
-        A write without an answer may still happen, so it is repeated with the
-        same content until the store says what it holds.
+        A write that got no answer may still take effect. It is therefore retried with
+        the same content until the store returns what it holds. Raise
+        ``claim-unchecked`` if the time is over or the store refuses the write.
         """
         while True:
             try:
-                return await self.create(name, own)
+                return await self.create_or_read(name, own)
             except codes.Failure as failure:
                 if failure.code not in stores.TRANSIENT_CODES or not self.has_time(
                     call
                 ):
-                    self.begin(self.withdraw(name, own))
-                    raise unchecked(failure)
-            await asyncio.sleep(POLL)
+                    self.start_task(self.withdraw(name, own))
+                    raise unchecked_failure(failure)
+            await asyncio.sleep(POLL_INTERVAL)
 
-    async def create(
+    async def create_or_read(
         self, name: str, own: claiming.Claim
     ) -> tuple[claiming.Claim, int]:
-        """Create a claim, or return the one that the store holds."""
+        """Create a claim, or read the one that the store holds already."""
         while True:
             try:
                 stored = await self.store.create(KIND, name, claiming.encode(own))
@@ -132,7 +140,7 @@
             except codes.Failure as failure:
                 if failure.code is codes.PLATFORM_BUSY:
                     raise
-                found = await self.look(name)
+                found = await self.read_claim(name)
                 if found is not None:
                     return found
                 if failure.code is not codes.PLATFORM_CONFLICT:
@@ -140,10 +148,13 @@
 
     def has_time(self, call: calls.Call) -> bool:
         left = call.deadline - asyncio.get_running_loop().time()
-        return left > LEAST_LEFT + POLL
+        return left > MIN_TIME_LEFT + POLL_INTERVAL
+
+    async def read_claim(self, name: str) -> tuple[claiming.Claim, int] | None:
+        """Return a valid claim with its revision; None if there is none.
 
-    async def look(self, name: str) -> tuple[claiming.Claim, int] | None:
-        """Return a claim with its revision; None if there is none that counts."""
+        A claim that is unreadable or has expired is removed.
+        """
         stored = await self.store.get(KIND, name)
         if stored is None or stored.deleted:
             return None
@@ -156,13 +167,16 @@
     async def run(
         self, name: str, revision: int, own: claiming.Claim, work: Work
     ) -> calls.Answer:
-        """Run the work of a granted claim."""
+        """Run the work of a granted claim, and start to write its outcome.
+
+        The claim is withdrawn if the request is known not to have run.
+        """
         try:
             answer = await work()
         except codes.Failure as failure:
             answer = calls.refusal(failure)
         if answer.ran is codes.Execution.NOT_RUN:
-            self.begin(self.withdraw(name, own))
+            self.start_task(self.withdraw(name, own))
             return answer
         own.state = (
             claiming.State.DONE
@@ -170,30 +184,36 @@
             else claiming.State.UNKNOWN
         )
         own.answer = claiming.record(answer)
-        self.begin(self.tell(name, revision, own))
+        self.start_task(self.write_outcome(name, revision, own))
         return answer
 
-    async def tell(self, name: str, revision: int, own: claiming.Claim) -> None:
-        """Write what became of a sending, as often as needed within bounds."""
-        pause = TELL_PAUSE
-        for _ in range(TELL_TRIES):
+    async def write_outcome(
+        self, name: str, revision: int, own: claiming.Claim
+    ) -> None:
+        """Write the outcome of a submission; try at most WRITE_ATTEMPTS times."""
+        delay = FIRST_RETRY_DELAY
+        for _ in range(WRITE_ATTEMPTS):
             try:
                 await self.store.replace(KIND, name, claiming.encode(own), revision)
                 return
             except codes.Failure as failure:
                 if failure.code is codes.PLATFORM_CONFLICT:
                     return
-            await asyncio.sleep(pause)
-            pause *= 2
+            await asyncio.sleep(delay)
+            delay *= 2
         self.meters.add("claims.outcome-lost")
         self.log.note("claim-outcome-lost", claim=name)
 
     async def withdraw(self, name: str, own: claiming.Claim) -> None:
-        """Remove a claim whose request has not run, also one that comes late."""
-        pause = TELL_PAUSE
-        for _ in range(TELL_TRIES):
+        """Remove a claim whose request has not run.
+
+        Reads several times if there is no claim, as the write that creates it may
+        still take effect.
+        """
+        delay = FIRST_RETRY_DELAY
+        for _ in range(WRITE_ATTEMPTS):
             try:
-                found = await self.look(name)
+                found = await self.read_claim(name)
                 if found is not None and found[0].sending == own.sending:
                     await self.remove(name, found[1])
                     return
@@ -201,22 +221,26 @@
                     return
             except codes.Failure as failure:
                 self.log.note("claim-not-read", code=failure.code.number)
-            await asyncio.sleep(pause)
-            pause *= 2
+            await asyncio.sleep(delay)
+            delay *= 2
 
-    async def answer(
+    async def answer_repeat(
         self, call: calls.Call, name: str, own: claiming.Claim, found: claiming.Claim
     ) -> calls.Answer | None:
-        """Answer a sending whose request another sending holds; None if that one
-        has given the claim back."""
+        """Return the answer to a submission whose claim another submission holds.
+
+        Waits for its outcome until shortly before the deadline. Return None if the
+        other submission has withdrawn the claim. Raise ``key-conflict`` if the claim is
+        for another request, ``already-accepted`` if there is no recorded answer.
+        """
         if found.digest != own.digest:
             raise codes.Failure(codes.KEY_CONFLICT)
         while found.state is claiming.State.RUNNING and time.time() < found.ends:
             if not self.has_time(call):
                 break
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL)
             try:
-                known = await self.look(name)
+                known = await self.read_claim(name)
             except codes.Failure as failure:
                 self.log.note("claim-not-read", code=failure.code.number)
                 continue
@@ -235,17 +259,20 @@
         raise codes.Failure(codes.ALREADY_ACCEPTED, ran=ran)
 
     async def remove(self, name: str, revision: int) -> None:
-        """Remove a claim unless it was changed meanwhile."""
+        """Remove a claim unless it has changed meanwhile."""
         try:
             await self.store.delete(KIND, name, revision)
         except codes.Failure as failure:
             self.log.note("claim-not-removed", code=failure.code.number)
 
     async def sweep(self) -> None:
-        """Remove old claims now and then, where keys are in use."""
+        """Remove old claims every SWEEP_INTERVAL seconds, until cancelled.
+
+        Only done by the sweeper, and only once it has had a call with a key.
+        """
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
-            if not self.used or not self.leads():
+            if not self.used or not self.is_sweeper():
                 continue
             try:
                 listing = await self.store.list(KIND)
@@ -259,8 +286,11 @@
                     await self.remove(item.name, item.revision)
 
 
-def unchecked(failure: codes.Failure) -> codes.Failure:
-    """Return the failure where nobody knows whether an earlier sending ran."""
+def unchecked_failure(failure: codes.Failure) -> codes.Failure:
+    """Return ``claim-unchecked``, for a failure that leaves open what has run.
+
+    An earlier submission of the request may have run.
+    """
     return codes.Failure(
         codes.CLAIM_UNCHECKED,
         failure.code.name,
--- a/rattanridge/mesh/configs.py
+++ b/rattanridge/mesh/configs.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this node. Its version never falls."""
+"""The configuration in effect at this node. Its version never decreases."""
 
 import asyncio
 import collections.abc
@@ -9,21 +9,22 @@
 from rattanridge.mesh import events, watching
 from rattanridge.platform import configs, store as stores
 
-HINT_WAIT = 1.2  # seconds that the watch has to tell what another node knows
+WATCH_GRACE = 1.2  # seconds for the watch to deliver a version that a peer has
 PATH = "/configuration"
 STATE_PATH = "/state"
-CONTENT_BYTES = 33_554_432  # of the largest configuration that another node may send
+MAX_CONTENT_BYTES = 33_554_432  # of a configuration that another node sends
 
-Learn = collections.abc.Callable[[str], collections.abc.Awaitable[None]]
+FetchRecords = collections.abc.Callable[[str], collections.abc.Awaitable[None]]
 Fetch = collections.abc.Callable[[str, str], collections.abc.Awaitable[bytes | None]]
 
 
 class State(msgspec.Struct):
-    """What a node has in force.
+    """What a node has in effect.
 
     :param version: version of its configuration; 0 if it has none.
-    :param refused: the last one that could not be used, and why; else empty.
-    :param store: whether the store answers it.
+    :param refused: source and error of the last configuration if it could not be
+        used, else empty.
+    :param store: whether the node can reach the store.
     """
 
     version: int
@@ -32,67 +33,73 @@
 
 
 class Configs:
-    """Takes over newer versions, each decoded and checked whole.
+    """Applies newer versions of the configuration, each decoded and checked whole.
 
-    :param fetch: asks another node for a page.
-    :param learn: asks another node for the rest that a node has to know.
-    :param health: of the store; told when the watch has missed a version.
+    :param fetch: fetches a page from another node.
+    :param fetch_records: fetches the records of all nodes from another node.
+    :param health: of the store; asked to list again if the watch missed a version.
     """
 
     def __init__(
         self,
         store: stores.Store,
         fetch: Fetch,
-        learn: Learn,
-        health: watching.Health,
+        fetch_records: FetchRecords,
+        health: watching.StoreHealth,
         log: events.Events,
         meters: events.Meters,
     ):
         self.store = store
         self.fetch = fetch
-        self.learn = learn
+        self.fetch_records = fetch_records
         self.health = health
-        self.informant = ""
+        self.peer_address = ""
         self.content = b""
-        self.packed_content = b""
+        self.compressed_content = b""
         self.refused = ""
         self.log = log
         self.meters = meters
         self.current: routes.Configuration | None = None
-        self.reading: asyncio.Task | None = None
+        self.catch_up_task: asyncio.Task | None = None
 
     @property
     def version(self) -> int:
-        """Version in force; 0 if there is none yet."""
+        """Version in effect; 0 if there is none yet."""
         return self.current.version if self.current is not None else 0
 
     def state(self) -> bytes:
-        """Return what this node has in force, as other nodes read it."""
+        """Return the node's ``State`` as JSON, for other nodes."""
         state = State(self.version, self.refused, self.health.up.is_set())
         return msgspec.json.encode(state)
 
     def packed(self) -> bytes:
-        """Return the configuration in force as other nodes read it: compressed.
+        """Return the configuration in effect, compressed, for other nodes.
 
-        All nodes that the store turns away may ask this one at once, over its one link.
+        All nodes that cannot reach the store may fetch it from this node at the same
+        time, over its single link.
         """
-        if not self.packed_content:
-            self.packed_content = compression.compress(self.content)
-        return self.packed_content
+        if not self.compressed_content:
+            self.compressed_content = compression.compress(self.content)
+        return self.compressed_content
 
-    def take_all(self, items: list[stores.StoredObject]) -> None:
-        """Take over what a list holds."""
+    def apply_all(self, items: list[stores.StoredObject]) -> None:
+        """Apply a complete list of the stored objects."""
         for item in items:
-            self.take(item)
+            self.apply(item)
 
-    def take(self, item: stores.StoredObject) -> None:
-        """Take over a newer configuration; an unreadable one changes nothing."""
+    def apply(self, item: stores.StoredObject) -> None:
+        """Apply a stored configuration if it is newer; ignore an invalid one."""
         if item.name != configs.NAME or item.deleted:
             return
-        self.take_content(item.spec, f"revision {item.revision}")
+        self.apply_content(item.spec, f"revision {item.revision}")
 
-    def take_content(self, content: bytes, source: str) -> None:
-        """Take over a configuration as the operator wrote it."""
+    def apply_content(self, content: bytes, source: str) -> None:
+        """Apply a configuration, as the operator wrote it, if it is newer.
+
+        An invalid one changes nothing but ``refused``.
+
+        :param source: where it was read, for the log and the node's state.
+        """
         try:
             found = configs.decode(content)
         except codes.Failure as failure:
@@ -115,70 +122,76 @@
         )
         self.current = found
         self.content = content
-        self.packed_content = b""
+        self.compressed_content = b""
         self.refused = ""
         self.meters.version.set(found.version)
 
     def record_peer_version(self, version: int, address: str = "") -> None:
-        """Another node has this version in force: read it if it is a newer one.
+        """Record the version that another node has; catch up if it is newer.
 
-        :param address: where that node can be asked, if it is known.
+        :param address: hop address of that node; empty if it is unknown.
         """
         if version <= self.version:
             return
-        self.informant = address or self.informant
-        if self.reading is None:
-            self.reading = asyncio.create_task(self.read(version))
+        self.peer_address = address or self.peer_address
+        if self.catch_up_task is None:
+            self.catch_up_task = asyncio.create_task(self.catch_up(version))
+
+    async def catch_up(self, version: int) -> None:
+        """Read the configuration unless the watch delivers the version in time.
 
-    async def read(self, version: int) -> None:
-        """Read the configuration if the watch does not tell it."""
+        A node without any configuration does not wait for its watch.
+        """
         try:
             if self.current is None:
-                await self.read_informant()
+                await self.read_from_peer()
                 return
-            await asyncio.sleep(HINT_WAIT)
+            await asyncio.sleep(WATCH_GRACE)
             if version <= self.version:
                 return
             self.log.note("configuration-behind", version=self.version, other=version)
             if self.health.up.is_set():
-                self.health.doubt(f"version {version} is in force elsewhere")
-                await self.read_store()
+                self.health.relist(f"another node has version {version} in effect")
+                await self.read_from_store()
             else:
-                await self.read_informant()
+                await self.read_from_peer()
         finally:
-            self.reading = None
+            self.catch_up_task = None
 
-    async def read_store(self) -> None:
-        """Read the configuration from the store, else from another node."""
+    async def read_from_store(self) -> None:
+        """Read the configuration from the store, or from a peer if that fails."""
         try:
             item = await self.store.get(configs.KIND, configs.NAME)
         except codes.Failure as failure:
             self.log.note("configuration-not-read", code=failure.code.number)
-            await self.read_informant()
+            await self.read_from_peer()
             return
         if item is not None:
-            self.take(item)
+            self.apply(item)
 
-    async def read_informant(self) -> None:
-        """Read the configuration from the node that has a newer one."""
-        if not self.informant:
+    async def read_from_peer(self) -> None:
+        """Read the configuration, and the records, from the node that is ahead."""
+        if not self.peer_address:
             return
-        content = self.unpack(await self.fetch(self.informant, PATH))
+        content = self.decompress(await self.fetch(self.peer_address, PATH))
         if content:
-            await self.learn(self.informant)
-            self.take_content(content, self.informant)
+            await self.fetch_records(self.peer_address)
+            self.apply_content(content, self.peer_address)
+
+    def decompress(self, data: bytes | None) -> bytes:
+        """Return what another node sent, decompressed.
 
-    def unpack(self, data: bytes | None) -> bytes:
-        """Return what another node sent; empty if it is nothing or unreadable."""
+        Empty if the node did not answer, or if its answer is unreadable.
+        """
         if not data:
             return b""
         try:
-            return compression.decompress(data, CONTENT_BYTES)
+            return compression.decompress(data, MAX_CONTENT_BYTES)
         except codes.Failure as failure:
             self.log.note(
                 "configuration-not-read",
                 code=failure.code.number,
-                source=self.informant,
+                source=self.peer_address,
                 why=failure.detail,
             )
             return b""
--- a/rattanridge/mesh/coordinator.py
+++ b/rattanridge/mesh/coordinator.py
@@ -1,9 +1,9 @@
-"""Coordinates rollouts: shares grow by conditional writes to the order's status.
+"""Coordinates rollouts: raises shares by conditional writes to the rollout's status.
 
-Every node may coordinate. They stand in an order of their own for each
-service; the first one begins, and the next one takes over if the status has
-not changed for too long. Two that act at once hurt nobody: each write is
-conditional on the object's revision, and the loser reads again.
+Every node may coordinate. For each service the nodes have a fixed ranking; the first
+one starts, and the next one takes over if the status has not changed for too long. Two
+nodes that coordinate at the same time do no harm: each write is conditional on the
+object's revision, and the node that loses reads the status again.
 """
 
 import asyncio
@@ -22,19 +22,19 @@
 from rattanridge.platform import orders, store as stores
 from rattanridge.policies import evidence, ramp as ramps
 
-LOOK_INTERVAL = 0.35  # seconds
-BEAT = 2.0  # seconds after which an unchanged status is written again
-TAKEOVER = 3.5  # seconds without a change after which the next node takes over
-RANK_WAIT = 1.0  # seconds that each further node waits longer
-FIRST_WAIT = 0.6  # seconds that each further node waits for the first write
+CHECK_INTERVAL = 0.35  # seconds between two checks of all rollouts
+RENEW_INTERVAL = 2.0  # seconds after which an unchanged status is written again
+TAKEOVER_TIMEOUT = 3.5  # seconds without a change after which another node takes over
+RANK_DELAY = 1.0  # seconds added to the takeover timeout for each rank
+FIRST_WRITE_DELAY = 0.6  # seconds for each rank until a node makes the first write
 
 
-class Case:
-    """The coordinator's view of one rollout."""
+class Evaluation:
+    """The coordinator's evidence on one rollout, and its progress."""
 
     def __init__(self, rollout: versioning.Rollout, now: float):
         self.order = rollout.order
-        status = rollout.answer()
+        status = rollout.current_status()
         self.ramp = ramps.Ramp(rollout.order.duration)
         self.began_at = rollout.seen_at
         if status is not None:
@@ -42,41 +42,44 @@
             self.ramp.began = status.began
             self.ramp.step_at = status.elapsed
             self.began_at = min(rollout.seen_at, rollout.changed_at - status.elapsed)
-        self.base: dict[str, evidence.CountsByRoute] = {}
+        self.baselines: dict[str, evidence.CountsByRoute] = {}
         self.old: evidence.CountsByRoute = {}
         self.new: evidence.CountsByRoute = {}
-        self.found: dict[str, monitoring.Report] = {}
+        self.reports: dict[str, monitoring.Report] = {}
 
-    def take(self, report: monitoring.Report) -> None:
-        """Take one exit's evidence; the old version's counts begin now."""
-        self.found[report.endpoint] = report
+    def record_report(self, report: monitoring.Report) -> None:
+        """Record the report of one exit.
+
+        An endpoint of the old version is counted from its first report on.
+        """
+        self.reports[report.endpoint] = report
         if report.version != self.order.version:
-            self.base.setdefault(report.endpoint, report.routes)
+            self.baselines.setdefault(report.endpoint, report.routes)
 
-    def sum_up(self) -> None:
-        """Add up the evidence on both versions."""
+    def sum_reports(self) -> None:
+        """Sum the evidence on the old and on the new version."""
         self.old = {}
         self.new = {}
-        for report in self.found.values():
+        for report in self.reports.values():
             if report.version == self.order.version:
                 evidence.merge(self.new, report.routes)
                 continue
-            base = self.base.get(report.endpoint, {})
+            baseline = self.baselines.get(report.endpoint, {})
             fresh = {
-                route: counts.since(base.get(route, evidence.Counts()))
+                route: counts.since(baseline.get(route, evidence.Counts()))
                 for route, counts in report.routes.items()
             }
             evidence.merge(self.old, fresh)
 
 
 class Coordinator:
-    """Looks at all rollouts, and acts where it is this node's turn."""
+    """Checks all rollouts, and advances those that this node coordinates."""
 
     def __init__(
         self,
         config: settings.Settings,
         store: stores.Store,
-        health: watching.Health,
+        health: watching.StoreHealth,
         versions: versioning.Versions,
         directory: directories.Directory,
         peers: forwarders.PeerClient,
@@ -89,153 +92,174 @@
         self.directory = directory
         self.peers = peers
         self.log = log
-        self.cases: dict[str, Case] = {}
+        self.evaluations: dict[str, Evaluation] = {}
 
     async def run(self) -> None:
-        """Look again and again."""
+        """Check all rollouts every CHECK_INTERVAL seconds, until cancelled.
+
+        Pauses while the store is unreachable.
+        """
         while True:
-            await asyncio.sleep(LOOK_INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL)
             if not self.health.up.is_set():
                 continue
             for rollout in list(self.versions.rollouts.values()):
                 try:
-                    await self.look(rollout)
+                    await self.advance(rollout)
                 except codes.Failure as failure:
                     self.log.note(
                         "rollout-not-written",
                         service=rollout.order.service,
                         code=failure.code.number,
                     )
-                    await self.read_again(rollout.order.service)
+                    await self.read_back(rollout.order.service)
 
-    async def read_again(self, service: str) -> None:
-        """Read a rollout after a write whose outcome is not known."""
+    async def read_back(self, service: str) -> None:
+        """Read a rollout after a write whose outcome is unknown."""
         try:
             item = await self.store.get(orders.KIND, service)
         except codes.Failure as failure:
             self.log.note("rollout-not-read", code=failure.code.number)
             return
         if item is not None:
-            self.versions.take(item)
+            self.versions.apply(item)
+
+    async def advance(self, rollout: versioning.Rollout) -> None:
+        """Evaluate a running rollout and write its status if this node coordinates it.
 
-    async def look(self, rollout: versioning.Rollout) -> None:
-        """Take the one step that a rollout needs now, if it is this node's turn."""
+        Raise a coded failure if the status could not be written.
+        """
         service = rollout.order.service
         if rollout.state() != orders.RUNNING or not self.is_due(rollout):
-            self.cases.pop(service, None)
+            self.evaluations.pop(service, None)
             return
         now = self.versions.now()
-        case = self.cases.get(service)
-        if case is None or case.order != rollout.order:
-            case = self.cases[service] = Case(rollout, now)
-        await self.gather(case)
-        case.ramp.elapsed = now - case.began_at
-        await self.decide(rollout, case)
+        evaluation = self.evaluations.get(service)
+        if evaluation is None or evaluation.order != rollout.order:
+            evaluation = self.evaluations[service] = Evaluation(rollout, now)
+        await self.fetch_reports(evaluation)
+        evaluation.ramp.elapsed = now - evaluation.began_at
+        await self.decide(rollout, evaluation)
 
     def is_due(self, rollout: versioning.Rollout) -> bool:
-        """Whether this node coordinates the rollout now."""
-        status = rollout.answer()
+        """Return whether it is this node's turn to coordinate the rollout."""
+        status = rollout.current_status()
         if status is not None and status.holder == self.config.name:
             return True
         waited = self.versions.now() - rollout.changed_at
         rank = self.rank(rollout.order.service)
         if status is not None:
-            return waited > TAKEOVER + rank * RANK_WAIT
-        return waited >= rank * FIRST_WAIT
+            return waited > TAKEOVER_TIMEOUT + rank * RANK_DELAY
+        return waited >= rank * FIRST_WRITE_DELAY
 
     def rank(self, service: str) -> int:
-        """Return this node's place among those that may coordinate."""
-        own = place(service, self.config.name)
-        return sum(place(service, name) < own for name in self.directory.running())
-
-    async def gather(self, case: Case) -> None:
-        """Ask all exits of the service for their evidence."""
-        found = self.directory.candidates_of(case.order.service)
-        reports = await asyncio.gather(*(self.ask(item.hop) for item in found))
+        """Return this node's rank, from 0, among those that may coordinate."""
+        own = rank_key(service, self.config.name)
+        return sum(
+            rank_key(service, name) < own for name in self.directory.running_nodes()
+        )
+
+    async def fetch_reports(self, evaluation: Evaluation) -> None:
+        """Fetch the reports of all exits of the service, and sum them."""
+        found = self.directory.candidates_of(evaluation.order.service)
+        reports = await asyncio.gather(*(self.fetch_report(item.hop) for item in found))
         for report in reports:
-            if report is not None and report.service == case.order.service:
-                case.take(report)
-        case.sum_up()
+            if report is not None and report.service == evaluation.order.service:
+                evaluation.record_report(report)
+        evaluation.sum_reports()
 
-    async def ask(self, address: str) -> monitoring.Report | None:
-        """Return one exit's evidence; None if it does not answer."""
+    async def fetch_report(self, address: str) -> monitoring.Report | None:
+        """Return the report of one exit; None if it does not answer."""
         data = await self.peers.fetch(address, "GET", monitoring.REPORT_PATH)
         if data is None:
             self.log.note("evidence-missing", node=address)
             return None
-        return monitoring.decode(data)
+        return monitoring.decode_report(data)
 
-    async def decide(self, rollout: versioning.Rollout, case: Case) -> None:
-        """Take back, go on, or complete."""
-        ramp = case.ramp
-        fault = evidence.find_fault(case.old, case.new)
+    async def decide(self, rollout: versioning.Rollout, evaluation: Evaluation) -> None:
+        """Roll back, continue or complete a rollout, and write what changed."""
+        ramp = evaluation.ramp
+        fault = evidence.find_fault(evaluation.old, evaluation.new)
         if fault:
-            await self.brake(case)
-            await self.write(rollout, case, orders.ROLLED_BACK, fault)
+            await self.brake(evaluation)
+            await self.write_status(rollout, evaluation, orders.ROLLED_BACK, fault)
             return
-        endpoints = self.count_new(case)
-        before = (ramp.step, ramp.began, ramp.has_capacity())
-        ramp.capacity_ratio = self.room(case)
-        ramp.advance(endpoints, case.old, case.new)
+        endpoints = self.count_new(evaluation)
+        earlier = (ramp.step, ramp.began, ramp.has_capacity())
+        ramp.capacity_ratio = self.capacity_ratio(evaluation)
+        ramp.advance(endpoints, evaluation.old, evaluation.new)
         if ramp.done():
-            await self.write(rollout, case, orders.COMPLETED, "in time")
+            await self.write_status(rollout, evaluation, orders.COMPLETED, "in time")
         elif ramp.out_of_time():
             why = "not proved in time" if ramp.has_capacity() else "too few endpoints"
-            await self.brake(case)
-            await self.write(rollout, case, orders.ROLLED_BACK, why)
-        elif self.is_news(ramp, before) or self.is_stale(rollout):
-            await self.write(rollout, case, orders.RUNNING, "")
+            await self.brake(evaluation)
+            await self.write_status(rollout, evaluation, orders.ROLLED_BACK, why)
+        elif self.has_changed(ramp, earlier) or self.needs_renewal(rollout):
+            await self.write_status(rollout, evaluation, orders.RUNNING, "")
 
-    def is_news(self, ramp: ramps.Ramp, before: tuple[int, float, bool]) -> bool:
-        """Whether the share changed since the last look."""
-        return before != (ramp.step, ramp.began, ramp.has_capacity())
+    def has_changed(self, ramp: ramps.Ramp, earlier: tuple[int, float, bool]) -> bool:
+        """Return whether the ramp has changed since the last check."""
+        return earlier != (ramp.step, ramp.began, ramp.has_capacity())
 
-    def room(self, case: Case) -> float:
-        """Return the new version's slots over the old one's."""
+    def capacity_ratio(self, evaluation: Evaluation) -> float:
+        """Return the slots of the new version divided by those of the old one.
+
+        Endpoints that cannot be reached are left out. Infinite without old endpoints.
+        """
         slots = {True: 0, False: 0}
-        for item in self.directory.candidates_of(case.order.service):
+        for item in self.directory.candidates_of(evaluation.order.service):
             if not item.lost:
-                slots[item.version == case.order.version] += item.slots
+                slots[item.version == evaluation.order.version] += item.slots
         return slots[True] / slots[False] if slots[False] else float("inf")
 
-    def count_new(self, case: Case) -> int:
-        """Return the number of endpoints of the new version."""
+    def count_new(self, evaluation: Evaluation) -> int:
+        """Return the number of ready endpoints of the new version."""
         return sum(
-            item.version == case.order.version
-            for item in self.directory.candidates_of(case.order.service)
+            item.version == evaluation.order.version
+            for item in self.directory.candidates_of(evaluation.order.service)
         )
 
-    def is_stale(self, rollout: versioning.Rollout) -> bool:
-        """Whether the status does not show that this node coordinates."""
-        status = rollout.answer()
+    def needs_renewal(self, rollout: versioning.Rollout) -> bool:
+        """Return whether an unchanged status must be written again.
+
+        It must if it names another holder, or if it is older than RENEW_INTERVAL:
+        without a change another node would take over.
+        """
+        status = rollout.current_status()
         if status is None or status.holder != self.config.name:
             return True
-        return self.versions.now() - rollout.changed_at > BEAT
+        return self.versions.now() - rollout.changed_at > RENEW_INTERVAL
+
+    async def brake(self, evaluation: Evaluation) -> None:
+        """Send the brake to the exits of the new version, without the store.
 
-    async def brake(self, case: Case) -> None:
-        """Tell the exits of the new version at once, without the store."""
-        path = f"{monitoring.BRAKE_PATH}/{case.order.version}"
-        found = self.directory.candidates_of(case.order.service)
+        The new version then gets no requests even if the store is unreachable.
+        """
+        path = f"{monitoring.BRAKE_PATH}/{evaluation.order.version}"
+        found = self.directory.candidates_of(evaluation.order.service)
         await asyncio.gather(
             *(
                 self.peers.fetch(item.hop, "POST", path)
                 for item in found
-                if item.version == case.order.version
+                if item.version == evaluation.order.version
             )
         )
 
-    async def write(
-        self, rollout: versioning.Rollout, case: Case, state: str, why: str
+    async def write_status(
+        self, rollout: versioning.Rollout, evaluation: Evaluation, state: str, why: str
     ) -> None:
-        """Write the status, if nobody else has written since."""
-        ramp = case.ramp
-        endpoints = self.count_new(case)
+        """Write the status; raise ``platform-conflict`` if another node wrote first.
+
+        :param why: reason for the end of the rollout; empty while it runs.
+        """
+        ramp = evaluation.ramp
+        endpoints = self.count_new(evaluation)
         share = {orders.COMPLETED: 1.0, orders.ROLLED_BACK: 0.0}.get(
             state, ramp.share(endpoints)
         )
         status = orders.Status(
             state,
-            case.order.version,
+            evaluation.order.version,
             share,
             state == orders.RUNNING and ramp.one_endpoint(),
             ramp.step,
@@ -247,25 +271,28 @@
         )
         stored = await self.store.replace_status(
             orders.KIND,
-            case.order.service,
+            evaluation.order.service,
             orders.encode_status(status),
             rollout.revision,
         )
         self.log.info(
             "rollout-written",
-            service=case.order.service,
-            version=case.order.version,
+            service=evaluation.order.service,
+            version=evaluation.order.version,
             state=state,
             step=ramp.step,
             share=share,
             elapsed=ramp.elapsed,
-            calls=sum(item.calls for item in case.new.values()),
-            errors=sum(item.errors for item in case.new.values()),
+            calls=sum(item.calls for item in evaluation.new.values()),
+            errors=sum(item.errors for item in evaluation.new.values()),
             why=why or "-",
         )
-        self.versions.take(stored)
+        self.versions.apply(stored)
+
 
+def rank_key(service: str, node: str) -> bytes:
+    """Return the sort key of a node in the ranking for a service.
 
-def place(service: str, node: str) -> bytes:
-    """Return a node's fixed place in a random order of its own for a service."""
+    It is a hash, so each service has a ranking of its own that all nodes agree on.
+    """
     return hashlib.blake2b(f"{service}/{node}".encode(), digest_size=8).digest()
--- a/rattanridge/mesh/directory.py
+++ b/rattanridge/mesh/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints of each service, from the records of all nodes."""
+"""Directory of the endpoints of each service, from the records of all nodes."""
 
 import msgspec
 
@@ -11,18 +11,18 @@
 
 
 class Page(msgspec.Struct):
-    """The records of all nodes as one node tells them to another.
+    """The records of all nodes, as one node sends them to another.
 
-    :param records: record and revision by the node's name.
+    :param records: record and its revision, by the node's name.
     """
 
     records: dict[str, tuple[records.Record, int]]
 
 
 class Directory:
-    """Candidates by service, kept in step with the store's records.
+    """Candidates by service, updated from the store's records.
 
-    :param suspects: gets the evidence that the records carry.
+    :param suspects: receives the evidence that the records carry.
     """
 
     def __init__(self, suspects: suspecting.Suspects, log: events.Events):
@@ -31,37 +31,40 @@
         self.records: dict[str, records.Record] = {}
         self.revisions: dict[str, int] = {}
         self.candidates: dict[str, placement.Candidate] = {}
-        self.services: dict[str, list[placement.Candidate]] = {}
+        self.by_service: dict[str, list[placement.Candidate]] = {}
 
-    def take_all(self, items: list[stores.StoredObject]) -> None:
-        """Take over a whole list; what is not in it is gone."""
+    def apply_all(self, items: list[stores.StoredObject]) -> None:
+        """Apply a complete list; a node that is not in it is removed."""
         names = {item.name for item in items}
         for name in [name for name in self.records if name not in names]:
             self.remove(name)
         for item in items:
-            self.take(item)
+            self.apply(item)
 
     def encode_records(self) -> bytes:
-        """Return all records for another node."""
+        """Return all records as JSON, for another node."""
         known = {
             name: (record, self.revisions[name])
             for name, record in self.records.items()
         }
         return msgspec.json.encode(Page(known))
 
-    def take_page(self, data: bytes) -> bool:
-        """Take over another node's records; return whether they can be read."""
+    def apply_page(self, data: bytes) -> bool:
+        """Apply the records that another node sent; return False if unreadable."""
         try:
             page = msgspec.json.decode(data, type=Page)
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
             self.log.note("record-unreadable", name="page", why=str(error))
             return False
         for name, (record, revision) in page.records.items():
-            self.take(stores.StoredObject(name, revision, records.encode(record)))
+            self.apply(stores.StoredObject(name, revision, records.encode(record)))
         return True
 
-    def take(self, item: stores.StoredObject) -> None:
-        """Take one record; an older one than the known one is ignored."""
+    def apply(self, item: stores.StoredObject) -> None:
+        """Apply one record; ignore an older revision than the known one.
+
+        An unreadable record removes the node.
+        """
         if item.revision < self.revisions.get(item.name, 0):
             return
         self.revisions[item.name] = item.revision
@@ -82,7 +85,7 @@
         if self.records.get(item.name) == record:
             return
         self.records[item.name] = record
-        self.suspects.take(item.name, record.suspects)
+        self.suspects.apply(item.name, record.suspects)
         self.log.note(
             "record-changed",
             name=item.name,
@@ -90,16 +93,19 @@
             endpoint=record.endpoint,
             state=record.state,
         )
-        self.place(item.name, record)
+        self.update_candidate(item.name, record)
+
+    def update_candidate(self, name: str, record: records.Record) -> None:
+        """Add, update or remove the candidate of a record.
 
-    def place(self, name: str, record: records.Record) -> None:
-        """Make a candidate of a record, if its endpoint takes requests."""
+        Only an endpoint that accepts requests is a candidate.
+        """
         known = self.candidates.get(name)
         if self.is_superseded(name, record):
-            self.drop(name)
+            self.remove_candidate(name)
             return
         if record.state != records.READY or not record.endpoint:
-            self.drop(name)
+            self.remove_candidate(name)
             return
         same = known is not None and (
             (known.endpoint, known.hop, known.service)
@@ -109,8 +115,8 @@
             known.version = record.version
             known.slots = record.slots
             return
-        self.drop(name)
-        made = placement.Candidate(
+        self.remove_candidate(name)
+        candidate = placement.Candidate(
             name,
             record.hop,
             record.zone,
@@ -119,15 +125,19 @@
             record.version,
             record.slots,
         )
-        self.candidates[name] = made
-        # A new list each time: whoever holds the old one goes on with it.
-        self.services[record.service] = [*self.candidates_of(record.service), made]
+        self.candidates[name] = candidate
+        # A new list, as callers may still iterate over the old one.
+        self.by_service[record.service] = [
+            *self.candidates_of(record.service),
+            candidate,
+        ]
 
     def is_superseded(self, name: str, record: records.Record) -> bool:
-        """Whether a newer record names the same address; drop those it replaces.
+        """Return whether a newer record has the same address.
 
-        An address belongs to one node. A host that is gone for good leaves its
-        record behind, and its address may be given to another one.
+        Removes the candidates of older records with that address. An address belongs
+        to one node, but a host that is gone for good leaves its record behind, and its
+        address may be assigned to another host.
         """
         superseded = False
         for other, known in list(self.records.items()):
@@ -136,27 +146,27 @@
             if self.revisions[other] > self.revisions[name]:
                 superseded = True
             else:
-                self.drop(other)
+                self.remove_candidate(other)
         return superseded
 
-    def drop(self, name: str) -> None:
-        """Forget a candidate."""
+    def remove_candidate(self, name: str) -> None:
+        """Remove the candidate of a node, if it has one."""
         known = self.candidates.pop(name, None)
         if known is not None:
             rest = [
                 item for item in self.candidates_of(known.service) if item is not known
             ]
-            self.services[known.service] = rest
+            self.by_service[known.service] = rest
 
     def remove(self, name: str) -> None:
-        """Forget a node."""
+        """Remove a node's record, evidence and candidate."""
         if self.records.pop(name, None) is not None:
-            self.suspects.take(name, ())
+            self.suspects.apply(name, ())
             self.log.note("record-removed", name=name)
-        self.drop(name)
+        self.remove_candidate(name)
 
-    def running(self) -> list[str]:
-        """Return the names of the nodes whose upstream takes requests there."""
+    def running_nodes(self) -> list[str]:
+        """Return the names of the nodes whose upstream accepts requests."""
         return [
             name
             for name, record in self.records.items()
@@ -165,4 +175,4 @@
 
     def candidates_of(self, service: str) -> list[placement.Candidate]:
         """Return the candidates of a service."""
-        return self.services.get(service, [])
+        return self.by_service.get(service, [])
--- a/rattanridge/mesh/events.py
+++ b/rattanridge/mesh/events.py
@@ -1,4 +1,4 @@
-"""Lines and figures on what a node decides and comes to believe."""
+"""Log events and metrics of a node."""
 
 import asyncio
 
@@ -17,36 +17,44 @@
         self.events = self.counter("events", "Events by name", "event")
         self.requests = self.counter("requests", "Answers to callers", "outcome")
         self.refusals = self.counter("refusals", "Refusals by reason", "reason")
-        self.retries = self.counter("retries", "Repeats by reason", "reason")
+        self.retries = self.counter("retries", "Retries by reason", "reason")
         self.budget_requests = self.counter(
             "budget_requests", "Requests for a service, by sender", "service", "sender"
         )
         self.budget_repeats = self.counter(
-            "budget_repeats", "Repeats asked for at a service", "service", "outcome"
+            "budget_repeats", "Retries requested for a service", "service", "outcome"
         )
         self.store_calls = self.counter(
             "store_calls", "Calls to the store", "call", "outcome"
         )
         self.request_seconds = self.histogram(
-            "request_seconds", "Time from a request to its answer"
+            "request_seconds", "Seconds from a request to its answer"
         )
         self.queue_seconds = self.histogram(
-            "queue_seconds", "Time in the queue of the endpoint beside"
+            "queue_seconds", "Seconds in the queue of the local endpoint"
         )
         self.upstream_seconds = self.histogram(
-            "upstream_seconds", "Time that the endpoint beside took"
+            "upstream_seconds", "Seconds until the local endpoint answered"
         )
-        self.version = self.gauge("configuration_version", "Version in force")
-        self.running = self.gauge("running", "Requests at the endpoint beside")
-        self.waiting = self.gauge("waiting", "Requests in the queue")
-        self.share = self.gauge(
-            "rollout_share", "Part of requests for the new version", "service"
+        self.version = self.gauge(
+            "configuration_version", "Version of the configuration in effect"
+        )
+        self.running = self.gauge("running", "Requests running at the local endpoint")
+        self.waiting = self.gauge(
+            "waiting", "Requests in the queue of the local endpoint"
+        )
+        self.rollout_share = self.gauge(
+            "rollout_share",
+            "Share of the requests that the new version gets",
+            "service",
         )
         self.budget_nodes = self.gauge(
             "budget_nodes", "Nodes that share the fixed part of the retry budget"
         )
         self.data_age = self.gauge(
-            "belief_age_seconds", "Age of what is believed", "kind"
+            "belief_age_seconds",
+            "Seconds since the last update, by kind of data",
+            "kind",
         )
 
     def counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
@@ -68,15 +76,15 @@
         )
 
     def add(self, name: str) -> None:
-        """Count an event by its name."""
+        """Increment the counter of an event."""
         self.events.labels(name).inc()
 
-    def observe_store(self, call: str, outcome: str) -> None:
-        """Count a call to the store."""
+    def record_store_call(self, call: str, outcome: str) -> None:
+        """Count a call to the store by its outcome."""
         self.store_calls.labels(call, outcome).inc()
 
     def values(self) -> dict[str, float]:
-        """Return all counters that counted anything, by name and labels."""
+        """Return all counters that are not zero, by name and labels."""
         found: dict[str, float] = {}
         for family in self.registry.collect():
             for sample in family.samples:
@@ -88,15 +96,15 @@
         return found
 
     def render(self) -> bytes:
-        """Return all figures as text."""
+        """Return all metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
 
 class Events(log.Log):
-    """Writes one line for each decision, as far as the rate allows.
+    """Logs one line for each decision, limited in rate.
 
-    :param sink: takes the lines; None in tests.
-    :param rate: lines a second for each kind of event.
+    :param rate: lines per second for each kind of event.
+    :param sink: receives the lines; None in tests.
     """
 
     def __init__(self, node: str, rate: float, sink: sinks.Sink | None = None):
@@ -106,16 +114,16 @@
         self.task: asyncio.Task | None = None
 
     def note(self, event: str, **fields: object) -> None:
-        """Write an event that may come often; beyond the rate it is counted only."""
+        """Log an event that may be frequent; beyond the rate it is only counted."""
         if self.gate.allow(event, asyncio.get_running_loop().time()):
             self.info(event, **fields)
 
     def start(self) -> None:
-        """Begin to write lines out."""
+        """Start to flush the lines."""
         self.task = asyncio.create_task(self.run())
 
     async def run(self) -> None:
-        """Write out now and then, and tell what was held back."""
+        """Flush the lines and log the numbers of suppressed ones, until cancelled."""
         loop = asyncio.get_running_loop()
         reported = loop.time()
         while True:
@@ -127,8 +135,10 @@
                 self.sink.flush()
 
     def report(self) -> None:
-        """Tell how many lines of each kind were held back, and how many were lost
-        because nobody read them."""
+        """Log how many lines of each kind were suppressed, and how many were lost.
+
+        Lines are lost if nobody reads the output.
+        """
         for event, count in self.gate.suppressed.items():
             self.info("lines-held-back", kind=event, count=count)
         self.gate.suppressed.clear()
@@ -137,7 +147,7 @@
             self.sink.dropped = 0
 
     def stop(self) -> None:
-        """Write out what is left."""
+        """Stop flushing and write the remaining lines."""
         if self.task is not None:
             self.task.cancel()
         self.report()
--- a/rattanridge/mesh/membership.py
+++ b/rattanridge/mesh/membership.py
@@ -1,4 +1,4 @@
-"""What a node makes of the records of all nodes, and its own one."""
+"""The node's view of the records of all nodes, and its own record."""
 
 import asyncio
 import collections.abc
@@ -17,23 +17,23 @@
 from rattanridge.platform import store as stores
 from rattanridge.policies import budget_nodes
 
-SETTLED_WAIT = 0.3  # seconds that an acknowledgement waits for the store
-STOPPING = "stopping"  # state of a node whose upstream goes on without it
+ACKNOWLEDGE_TIMEOUT = 0.3  # seconds that an acknowledgement waits for the store
+STOPPING = "stopping"  # state of a node that stops while its upstream keeps running
 
 Fetch = collections.abc.Callable[[str, str], collections.abc.Awaitable[bytes | None]]
 
 
 class Membership:
-    """Follows the records of all nodes and keeps the node's own one.
+    """Follows the records of all nodes and maintains the node's own record.
 
-    :param fetch: asks another node for a page.
+    :param fetch: fetches a page from another node.
     """
 
     def __init__(
         self,
         config: settings.Settings,
         store: stores.Store,
-        health: watching.Health,
+        health: watching.StoreHealth,
         upstream: upstreams.Upstream,
         suspects: suspecting.Suspects,
         fetch: Fetch,
@@ -50,77 +50,80 @@
         span = config.repeats.budget_settings().span()
         self.sharers = budget_nodes.BudgetNodes(config.name, span)
         self.removals: set[asyncio.Task] = set()
-        self.known = False
+        self.has_records = False
         self.stopping = False
         upstream.listeners.append(self.publish)
         suspects.listeners.append(self.publish)
 
-    async def learn(self, address: str) -> None:
-        """Take over another node's records, until the store can be asked.
+    async def fetch_records(self, address: str) -> None:
+        """Fetch the records of all nodes from another node.
 
-        A node that starts while the store is away knows nobody. The nodes that
-        forward calls to it know everybody.
+        A node that starts while the store is unreachable has no records, but the
+        nodes that forward calls to it have them all. Does nothing once the records
+        are available.
         """
-        if self.known:
+        if self.has_records:
             return
         data = await self.fetch(address, directories.PATH)
-        if data is None or not self.directory.take_page(data):
+        if data is None or not self.directory.apply_page(data):
             return
-        self.known = True
+        self.has_records = True
         self.log.info("members-learnt", source=address)
         name = self.config.name
         if name in self.directory.records:
             self.restore(name)
 
-    def take_all(self, items: list[stores.StoredObject]) -> None:
-        """Take over the records of all nodes."""
-        self.directory.take_all(items)
+    def apply_all(self, items: list[stores.StoredObject]) -> None:
+        """Apply a complete list of the records."""
+        self.directory.apply_all(items)
         self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
-        self.known = True
+        self.has_records = True
         for item in items:
             self.remove_predecessor(item)
         own = [item for item in items if item.name == self.config.name]
         for item in own:
             self.restore(item.name)
-            self.publisher.see(item)
+            self.publisher.apply(item)
         if not own:
-            self.publisher.see(
+            self.publisher.apply(
                 stores.StoredObject(
                     self.config.name, self.publisher.revision, deleted=True
                 )
             )
 
-    def take(self, item: stores.StoredObject) -> None:
-        """Take over one node's record."""
-        self.directory.take(item)
+    def apply(self, item: stores.StoredObject) -> None:
+        """Apply one changed or deleted record."""
+        self.directory.apply(item)
         self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
-        self.publisher.see(item)
+        self.publisher.apply(item)
 
     def reload(self) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
         self.sharers.set_span(self.config.repeats.budget_settings().span())
 
-    def hear(self) -> None:
-        """The store answered the watch of the records."""
+    def record_store_answer(self) -> None:
+        """Record that the store has just answered the watch of the records."""
         self.sharers.record_contact(clock.seconds_since_boot())
 
-    def count_sharers(self) -> int:
-        """Return among how many nodes to divide what all share; 0 if this one takes
-        no part."""
+    def count_budget_nodes(self) -> int:
+        """Return the number of nodes that share the fixed part of the retry budget.
+
+        0 means that this node has no share of it at present.
+        """
         return self.sharers.count(clock.seconds_since_boot())
 
     def remove_predecessor(self, item: stores.StoredObject) -> None:
-        """Remove the record of a node that had this node's address before."""
+        """Start to remove the record of a node that had this node's address before."""
         record = self.directory.records.get(item.name)
         if record is None or item.name == self.config.name:
             return
         if record.hop == self.config.listen.hops:
-            task = asyncio.create_task(self.remove(item))
+            task = asyncio.create_task(self.remove_record(item))
             self.removals.add(task)
             task.add_done_callback(self.removals.discard)
 
-    async def remove(self, item: stores.StoredObject) -> None:
-        """Remove a record unless it was changed meanwhile."""
+    async def remove_record(self, item: stores.StoredObject) -> None:
+        """Remove a record from the store unless it has changed meanwhile."""
         try:
             await self.store.delete(records.KIND, item.name, item.revision)
             self.log.info("predecessor-removed", name=item.name)
@@ -130,11 +133,15 @@
             )
 
     def is_first(self) -> bool:
-        """Whether this node is the first one by name among those that run."""
-        return min(self.directory.running(), default="") == self.config.name
+        """Return whether this node's name sorts first among the running nodes."""
+        return min(self.directory.running_nodes(), default="") == self.config.name
 
     def restore(self, name: str) -> None:
-        """Take over what an earlier process knew of the upstream."""
+        """Restore the upstream's state from the record of an earlier process.
+
+        Does nothing if the upstream has already been identified, or if the record
+        is for another service.
+        """
         record = self.directory.records.get(name)
         if record is None or not record.endpoint or self.upstream.identity is not None:
             return
@@ -148,7 +155,10 @@
         )
 
     def publish(self) -> None:
-        """Ask for the node's record to be as the upstream is."""
+        """Request that the node's record be updated to the upstream's state.
+
+        A stopping node whose upstream has left removes its record.
+        """
         upstream = self.upstream
         if upstream.identity is None:
             return
@@ -164,14 +174,21 @@
             upstream.version,
             upstream.slots,
             STOPPING if self.stopping else upstream.state.value,
-            self.suspects.own(),
+            self.suspects.own_evidence(),
         )
         self.publisher.publish(record)
 
-    async def settled(self) -> None:
-        """Wait a moment for the record to be in the store."""
+    async def wait_written(self) -> None:
+        """Wait until the record is in the store, at most ACKNOWLEDGE_TIMEOUT seconds.
+
+        A heartbeat or farewell is acknowledged after that even if the store has not
+        answered.
+        """
         try:
-            async with asyncio.timeout(SETTLED_WAIT):
+            async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT):
                 await self.publisher.written.wait()
         except TimeoutError:
-            self.log.note("acknowledged-first", why="the store did not answer in time")
+            self.log.note(
+                "acknowledged-first",
+                why=f"the record was not stored within {ACKNOWLEDGE_TIMEOUT} s",
+            )
--- a/rattanridge/mesh/monitoring.py
+++ b/rattanridge/mesh/monitoring.py
@@ -1,4 +1,4 @@
-"""Evidence on the upstream beside the node, and the brake on its version."""
+"""Evidence on the local upstream's version, and the brake on that version."""
 
 import asyncio
 
@@ -10,14 +10,15 @@
 
 REPORT_PATH = "/evidence"
 BRAKE_PATH = "/brake"
-TIMED_OUT = 504
-BRAKE_TERM = 30.0  # seconds after which a brake that nobody renews ends
+GATEWAY_TIMEOUT = 504
+BRAKE_DURATION = 30.0  # seconds after which a brake ends unless it is renewed
 
 
 class Report(msgspec.Struct):
-    """What an exit saw of one incarnation of its upstream.
+    """What an exit measured of one incarnation of its upstream.
 
-    :param running: requests at the upstream now.
+    :param endpoint: id of the upstream; empty if it is unknown.
+    :param routes: counts of its requests by route.
     """
 
     endpoint: str
@@ -27,7 +28,7 @@
 
 
 class Monitor:
-    """Counts how the upstream serves each route; and refuses a braked version."""
+    """Counts how the local upstream serves each route; refuses a braked version."""
 
     def __init__(self, upstream: upstreams.Upstream, log: events.Events):
         self.upstream = upstream
@@ -40,10 +41,14 @@
     def record_request(
         self, call: calls.Call, status: int | None, spent: float
     ) -> None:
-        """Count one request that the upstream answered.
+        """Record one request that was sent to the upstream.
 
-        A lost answer tells nothing of the version, nor does the time of a
-        request that runs while the upstream is cold.
+        The counts start again with each incarnation of the upstream. A lost answer is
+        not counted, as it is no evidence on the version. The time of a request is
+        ignored while the upstream is cold, and a status of 504 is no failure.
+
+        :param status: status of the answer; None if it was lost.
+        :param spent: seconds that the upstream took.
         """
         if self.upstream.identity != self.identity:
             self.identity = self.upstream.identity
@@ -51,12 +56,12 @@
         if status is None:
             return
         cold = asyncio.get_running_loop().time() < self.upstream.cold_until
-        failed = status >= 500 and status != TIMED_OUT
+        failed = status >= 500 and status != GATEWAY_TIMEOUT
         counts = self.routes.setdefault(call.route, evidence.Counts())
         counts.record_call(failed, None if cold else spent)
 
     def report(self) -> bytes:
-        """Return the evidence as other nodes read it."""
+        """Return the evidence as JSON, for other nodes."""
         endpoint = self.identity.endpoint if self.identity is not None else ""
         upstream = self.upstream
         return msgspec.json.encode(
@@ -64,24 +69,27 @@
         )
 
     def brake(self, version: str) -> None:
-        """Refuse requests for a version that was found to be bad."""
+        """Refuse requests to a bad version for BRAKE_DURATION seconds.
+
+        Does nothing if the upstream has another version.
+        """
         if version != self.upstream.version:
             return
         now = asyncio.get_running_loop().time()
         if now >= self.braked_until:
             self.log.info("version-braked", version=version)
         self.braked_version = version
-        self.braked_until = now + BRAKE_TERM
+        self.braked_until = now + BRAKE_DURATION
 
     def refusal(self) -> codes.Failure | None:
-        """Return the refusal while the upstream's version is braked."""
+        """Return the refusal while the upstream's version is braked, else None."""
         if self.braked_version != self.upstream.version:
             return None
         if asyncio.get_running_loop().time() >= self.braked_until:
             return None
-        return codes.Failure(codes.DRAINING, "the version was taken back")
+        return codes.Failure(codes.DRAINING, "the version is being rolled back")
 
 
-def decode(data: bytes) -> Report | None:
+def decode_report(data: bytes) -> Report | None:
     """Decode a report; None if it is unreadable."""
     return untrusted_json.decode_or_none(data, Report)
--- a/rattanridge/mesh/node.py
+++ b/rattanridge/mesh/node.py
@@ -1,4 +1,4 @@
-"""One node: all parts on one host, put together."""
+"""One node: assembles all parts that run on a host."""
 
 import asyncio
 import collections.abc
@@ -18,7 +18,7 @@
     events,
     exit as exits,
     handlers,
-    hop_auth as accesses,
+    hop_auth,
     membership,
     peers as forwarders,
     records,
@@ -35,25 +35,26 @@
 )
 from rattanridge.web import memory, server as servers
 
-DRAIN_STEP = 0.05  # seconds between looks at what still runs
-QUESTIONS = 2.6  # seconds until the platform has asked twice whether it is ready
-CLOSING_AFTER = 1.2  # seconds from SIGTERM until kept connections are closed
-RESERVE = 0.6  # seconds of the grace time kept for ending
-LINGER = 0.1  # seconds for calls that were sent before their sender heard of the end
-SWEEP_INTERVAL = 1.0  # seconds
-ROLLOUT_SETTLE = 0.1  # seconds; a version that is taken back must not wait
-CONFIG_SETTLE = 0.25  # seconds; a watch returns each version that came meanwhile
-RECORDS_SETTLE = 0.8  # seconds; exits refuse what a record does not tell yet
+DRAIN_POLL_INTERVAL = 0.05  # seconds between two checks for requests in progress
+READINESS_WAIT = 2.6  # seconds in which the platform probes the readiness twice
+CLOSE_CONNECTIONS_AFTER = 1.2  # seconds from SIGTERM until answers close connections
+SHUTDOWN_RESERVE = 0.6  # seconds of the grace period that are kept for the shutdown
+LATE_CALLS_WAIT = 0.1  # seconds for calls sent before their senders saw the shutdown
+MAINTENANCE_INTERVAL = 1.0  # seconds
+# Seconds from a change to the next watch of its kind.
+ROLLOUT_BATCH_DELAY = 0.1  # short, so that a rollback is not delayed
+CONFIG_BATCH_DELAY = 0.25  # a watch returns each version that was written meanwhile
+RECORDS_BATCH_DELAY = 0.8  # long, as exits refuse calls that an outdated record allows
 BACKLOG = 512  # connections that wait to be accepted
-RECORD_RETRY = 0.5  # seconds before a record is written again
+RECORD_RETRY_DELAY = 0.5  # seconds before a record is written again
 
 
 class Node:
-    """The process beside an upstream.
+    """All parts of one node, and their start and shutdown.
 
     :param config: the node's settings.
-    :param file: where they come from, if they may change.
-    :param sink: takes the log lines.
+    :param file: the settings file, if the settings may change.
+    :param sink: receives the log lines.
     """
 
     def __init__(
@@ -66,9 +67,9 @@
         self.settings_file = file
         self.log = events.Events(config.name, config.limits.log_lines, sink)
         self.meters = events.Meters()
-        self.store = stores.Store(config.store, self.meters.observe_store)
-        self.health = watching.Health(self.log)
-        self.hop_auth = accesses.HopAuth(config)
+        self.store = stores.Store(config.store, self.meters.record_store_call)
+        self.health = watching.StoreHealth(self.log)
+        self.hop_auth = hop_auth.HopAuth(config)
         self.memory_budget = memory.MemoryBudget(config.limits.held_bytes)
         self.upstream = upstreams.Upstream(config, self.log)
         self.suspects = suspecting.Suspects(config.name, self.log, self.meters)
@@ -85,7 +86,7 @@
         self.configs = configs.Configs(
             self.store,
             self.fetch,
-            self.membership.learn,
+            self.membership.fetch_records,
             self.health,
             self.log,
             self.meters,
@@ -103,8 +104,8 @@
             config,
             self.directory,
             self.exit,
-            self.versions.keep,
-            self.membership.count_sharers,
+            self.versions.filter_candidates,
+            self.membership.count_budget_nodes,
             self.configs.record_peer_version,
             forwarders.PeerClient(self.hop_auth, self.memory_budget),
             self.log,
@@ -127,30 +128,30 @@
             config, self.exit, self.configs, self.directory, self.hop_auth, self.meters
         )
         self.heartbeat_handler = handlers.HeartbeatHandler(
-            self.upstream, self.membership.settled, self.log, self.meters
+            self.upstream, self.membership.wait_written, self.log, self.meters
         )
         self.watches = [
-            self.watch(
+            self.make_watch(
                 wire_configs.KIND,
-                self.configs.take_all,
-                self.configs.take,
-                CONFIG_SETTLE,
+                self.configs.apply_all,
+                self.configs.apply,
+                CONFIG_BATCH_DELAY,
                 large=True,
             ),
-            self.watch(
+            self.make_watch(
                 records.KIND,
-                self.membership.take_all,
-                self.membership.take,
-                RECORDS_SETTLE,
-                stale=True,
-                heard=self.membership.hear,
+                self.membership.apply_all,
+                self.membership.apply,
+                RECORDS_BATCH_DELAY,
+                allow_stale=True,
+                on_answer=self.membership.record_store_answer,
             ),
-            self.watch(
+            self.make_watch(
                 orders.KIND,
-                self.versions.take_all,
-                self.versions.take,
-                ROLLOUT_SETTLE,
-                stale=True,
+                self.versions.apply_all,
+                self.versions.apply,
+                ROLLOUT_BATCH_DELAY,
+                allow_stale=True,
             ),
         ]
         self.coordinator = coordinator.Coordinator(
@@ -167,24 +168,31 @@
         self.stopping = False
 
     async def fetch(self, address: str, path: str) -> bytes | None:
-        """Ask another node for a page."""
+        """Fetch a page from another node; None if it does not answer."""
         return await self.dispatcher.peers.fetch(address, "GET", path)
 
-    def watch(
+    def make_watch(
         self,
         kind: str,
-        take_all: watching.TakeAll,
-        take: watching.TakeOne,
-        settle: float,
+        apply_all: watching.ApplyAll,
+        apply: watching.ApplyOne,
+        batch_delay: float,
         **more: typing.Any,
     ) -> watching.Watch:
-        """Return a watch of one kind; ``more`` as it takes it."""
+        """Return a watch of one kind; ``more`` are further arguments of ``Watch``."""
         return watching.Watch(
-            self.store, kind, self.health, take_all, take, self.log, settle, **more
+            self.store,
+            kind,
+            self.health,
+            apply_all,
+            apply,
+            self.log,
+            batch_delay,
+            **more,
         )
 
     async def start(self) -> None:
-        """Listen on all ports and begin to follow the store."""
+        """Listen on all ports and start to follow the store."""
         listen = self.config.listen
         await self.listen(self.entry.serve, listen.callers)
         await self.listen(self.hop_handler.serve, listen.hops)
@@ -197,11 +205,11 @@
             await self.listen(metrics.serve, listen.metrics)
         self.log.start()
         for watch in self.watches:
-            self.begin(watch.run())
-        self.begin(self.membership.publisher.run(RECORD_RETRY))
-        self.begin(self.coordinator.run())
-        self.begin(self.claims.sweep())
-        self.begin(self.tend())
+            self.start_task(watch.run())
+        self.start_task(self.membership.publisher.run(RECORD_RETRY_DELAY))
+        self.start_task(self.coordinator.run())
+        self.start_task(self.claims.sweep())
+        self.start_task(self.maintain())
         gc.collect()
         gc.freeze()
         self.log.info(
@@ -212,18 +220,18 @@
             store=self.config.store,
         )
 
-    def begin(self, work: collections.abc.Coroutine) -> None:
-        """Run a part for as long as the node runs."""
+    def start_task(self, work: collections.abc.Coroutine) -> None:
+        """Run a coroutine until the node is closed; log its failure."""
         task = asyncio.create_task(work)
-        task.add_done_callback(self.check_task)
+        task.add_done_callback(self.log_failure)
         self.tasks.append(task)
 
-    def check_task(self, task: asyncio.Task) -> None:
+    def log_failure(self, task: asyncio.Task) -> None:
         if not task.cancelled() and task.exception() is not None:
             self.log.error("task-failed", why=repr(task.exception()))
 
     async def listen(self, handler: servers.Handler, address: str) -> None:
-        """Serve HTTP at ``host:port``."""
+        """Serve HTTP at ``host:port``; raise ``cannot-listen`` if that fails."""
         host, _, port = address.rpartition(":")
         served = servers.Server(handler, self.config, self.meters, self.log)
         runner = aiohttp.web.ServerRunner(served, shutdown_timeout=0.2)
@@ -237,17 +245,20 @@
             raise codes.Failure(codes.CANNOT_LISTEN, error.strerror or "", where=where)
 
     def ready(self) -> bool:
-        """Whether callers may be sent here."""
+        """Return whether the node can serve callers."""
         return (
             not self.stopping
             and self.configs.current is not None
-            and self.membership.known
+            and self.membership.has_records
         )
 
-    async def tend(self) -> None:
-        """Look after connections and the settings file, again and again."""
+    async def maintain(self) -> None:
+        """Close idle connections, expire evidence, and reload a changed settings file.
+
+        Runs every MAINTENANCE_INTERVAL seconds, until cancelled.
+        """
         while True:
-            await asyncio.sleep(SWEEP_INTERVAL)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             self.exit.pool.expire_idle()
             self.suspects.expire()
             self.exit.parents.expire()
@@ -256,7 +267,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Take over changed settings; wrong ones change nothing."""
+        """Read the settings file and apply it; log and ignore invalid settings."""
         try:
             fresh = settings.load(self.settings_file.path)
         except codes.Failure as failure:
@@ -268,41 +279,45 @@
         self.membership.reload()
         self.log.info("settings-reloaded", service=fresh.service, store=fresh.store)
 
-    def busy(self) -> int:
-        """Return the requests in progress."""
+    def request_count(self) -> int:
+        """Return the number of requests in progress."""
         return self.entry.active + self.exit.request_count()
 
     async def stop(self) -> None:
-        """Graceful shutdown: say so, serve on, finish what runs, end."""
+        """Shut down gracefully: publish it, complete the requests, then close.
+
+        Requests are served at least until the platform has seen that the node is not
+        ready, and at most until the grace period is nearly over.
+        """
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.stopping = True
-        self.log.info("node-stopping", requests=self.busy())
+        self.log.info("node-stopping", requests=self.request_count())
         self.membership.stopping = True
         self.membership.publish()
-        last = began + self.config.drain.grace - RESERVE
+        last = began + self.config.drain.grace - SHUTDOWN_RESERVE
         self.dispatcher.stop_deadline = self.exit.stop_deadline = last
         self.hop_handler.closing = True
         while loop.time() < last:
-            await asyncio.sleep(DRAIN_STEP)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
             passed = loop.time() - began
-            self.entry.closing = passed > CLOSING_AFTER
-            if passed > QUESTIONS and not self.busy():
+            self.entry.closing = passed > CLOSE_CONNECTIONS_AFTER
+            if passed > READINESS_WAIT and not self.request_count():
                 break
         self.exit.stopping = True
         await self.stop_listening()
-        await asyncio.sleep(LINGER)
+        await asyncio.sleep(LATE_CALLS_WAIT)
         await self.close()
 
     async def stop_listening(self) -> None:
-        """Take no new connections; open ones are still answered."""
+        """Accept no new connections; requests on open ones are still answered."""
         for runner in self.runners:
             for site in list(runner.sites):
                 await site.stop()
 
     async def close(self) -> None:
-        """End everything."""
-        self.log.info("node-stopped", requests=self.busy())
+        """Close all connections and cancel all tasks."""
+        self.log.info("node-stopped", requests=self.request_count())
         for runner in self.runners:
             await runner.cleanup()
         for task in (*self.tasks, *self.dispatcher.poll_tasks):
--- a/rattanridge/mesh/publisher.py
+++ b/rattanridge/mesh/publisher.py
@@ -1,4 +1,4 @@
-"""Keeps the node's own record in the store as it should be."""
+"""Publishes the node's own record in the store."""
 
 import asyncio
 
@@ -8,87 +8,97 @@
 
 
 class Publisher:
-    """Keeps the node's own record in the store as it should be.
+    """Keeps the node's record in the store equal to the desired one.
 
-    Each write is conditional, so one that happens late can't undo a newer one.
+    Each write is conditional on the revision, so a delayed write cannot overwrite a
+    newer one.
 
-    :param name: the node's name, which is also the record's.
-    :param health: of the store; while it is away nothing is written.
+    :param name: the node's name, which is also the name of its record.
+    :param health: nothing is written while it reports the store as unreachable.
     """
 
     def __init__(
         self,
         name: str,
         store: stores.Store,
-        health: watching.Health,
+        health: watching.StoreHealth,
         log: events.Events,
     ):
         self.name = name
         self.store = store
         self.health = health
         self.log = log
-        self.wanted: records.Record | None = None
-        self.known: records.Record | None = None
+        self.desired: records.Record | None = None
+        self.stored: records.Record | None = None
         self.revision = 0
         self.changed = asyncio.Event()
         self.written = asyncio.Event()
 
     def publish(self, record: records.Record | None) -> None:
-        """Ask for a record in the store; None asks for none."""
-        if record != self.wanted:
-            self.wanted = record
+        """Set the record to keep in the store; None removes it."""
+        if record != self.desired:
+            self.desired = record
             self.written.clear()
             self.changed.set()
 
-    def see(self, item: stores.StoredObject) -> None:
-        """Take what the store holds; write again if that is not what is wanted."""
+    def apply(self, item: stores.StoredObject) -> None:
+        """Record what the store holds; schedule a write if it differs from the desired.
+
+        Ignores records of other nodes and revisions older than the last known one.
+        """
         if item.name != self.name or item.revision < self.revision:
             return
-        self.note(None if item.deleted else item)
-        if self.known != self.wanted:
+        self.record_stored(None if item.deleted else item)
+        if self.stored != self.desired:
             self.changed.set()
 
-    def note(self, item: stores.StoredObject | None) -> None:
-        """Remember what the store holds."""
+    def record_stored(self, item: stores.StoredObject | None) -> None:
+        """Record what the store holds; None if it has no record of the node."""
         self.revision = item.revision if item is not None else 0
-        self.known = None
+        self.stored = None
         if item is None:
             return
         try:
-            self.known = records.decode(item.spec)
+            self.stored = records.decode(item.spec)
         except codes.Failure as failure:
             self.log.note("record-unreadable", name=self.name, why=failure.detail)
 
-    async def run(self, pause: float) -> None:
-        """Write on each change; after a failure again after ``pause`` seconds."""
+    async def run(self, retry_delay: float) -> None:
+        """Write the record after each change, until cancelled.
+
+        :param retry_delay: seconds before a failed write is retried.
+        """
         while True:
             await self.changed.wait()
             self.changed.clear()
-            while not await self.settle():
-                await asyncio.sleep(pause)
+            while not await self.reconcile():
+                await asyncio.sleep(retry_delay)
                 await self.health.up.wait()
             self.written.set()
 
-    async def settle(self) -> bool:
-        """Bring the store in step; return whether that is done."""
-        wanted = self.wanted
+    async def reconcile(self) -> bool:
+        """Write the desired record if the store holds another one.
+
+        Return whether the store now holds the record that is desired now.
+        """
+        desired = self.desired
         try:
-            if wanted == self.known and (wanted is None or self.revision):
+            if desired == self.stored and (desired is None or self.revision):
                 return True
-            await self.write(wanted)
+            await self.write(desired)
         except codes.Failure as failure:
             self.log.note("record-not-written", code=failure.code.number)
-            await self.look()
+            await self.read_back()
             return False
-        return wanted == self.wanted
+        return desired == self.desired
 
-    async def write(self, wanted: records.Record | None) -> None:
-        """Make the one write that is due."""
-        if wanted is None:
+    async def write(self, desired: records.Record | None) -> None:
+        """Delete, replace or create the record in the store."""
+        if desired is None:
             await self.store.delete(records.KIND, self.name, self.revision)
-            self.note(None)
+            self.record_stored(None)
             return
-        spec = records.encode(wanted)
+        spec = records.encode(desired)
         if self.revision:
             stored = await self.store.replace(
                 records.KIND, self.name, spec, self.revision
@@ -96,12 +106,12 @@
         else:
             stored = await self.store.create(records.KIND, self.name, spec)
         self.revision = stored.revision
-        self.known = wanted
-        self.log.note("record-written", revision=self.revision, state=wanted.state)
+        self.stored = desired
+        self.log.note("record-written", revision=self.revision, state=desired.state)
 
-    async def look(self) -> None:
-        """Read back after a write whose outcome is not known."""
+    async def read_back(self) -> None:
+        """Read the record after a write whose outcome is unknown."""
         try:
-            self.note(await self.store.get(records.KIND, self.name))
+            self.record_stored(await self.store.get(records.KIND, self.name))
         except codes.Failure as failure:
             self.log.note("record-not-read", code=failure.code.number)
--- a/rattanridge/mesh/records.py
+++ b/rattanridge/mesh/records.py
@@ -1,4 +1,4 @@
-"""Records in the store: one for each node, written by itself, only on a change."""
+"""Records in the store: each node writes its own one, only when it changes."""
 
 import msgspec
 
@@ -10,13 +10,14 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a node tells the others of itself and of the upstream beside it.
+    """What a node publishes about itself and the local upstream.
 
     :param hop: address for calls from other nodes.
-    :param endpoint: id of the upstream; empty while none is known.
-    :param incarnation: milliseconds since the epoch of the upstream's start.
-    :param state: ``ready`` if the upstream takes requests here, else why not.
-    :param suspects: requests of which the upstream seems to have died.
+    :param endpoint: id of the upstream; empty while it is unknown.
+    :param incarnation: start of the upstream, in milliseconds since the epoch.
+    :param state: ``ready`` if the upstream accepts requests through this node, else
+        the reason why it does not.
+    :param suspects: requests that may have crashed the upstream.
     """
 
     hop: str
@@ -31,7 +32,7 @@
 
 
 def decode(data: bytes) -> Record:
-    """Decode a record; raise ``bad-field`` if it names no usable endpoint."""
+    """Decode a record; raise ``bad-field`` if it is invalid."""
     try:
         return msgspec.json.decode(data, type=Record)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
@@ -39,5 +40,5 @@
 
 
 def encode(record: Record) -> bytes:
-    """Return a record as the store keeps it."""
+    """Return a record as the store holds it."""
     return msgspec.json.encode(record)
--- a/rattanridge/mesh/settings.py
+++ b/rattanridge/mesh/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node, from YAML. One object, passed whole to what needs it."""
+"""Settings of a node, from YAML: one object that all parts share."""
 
 import os
 
@@ -7,7 +7,7 @@
 from rattanridge.kernel import codes, documents, registry, settings
 from rattanridge.policies import placement, queueing, retry_budget
 
-KEY_LENGTH_LEAST = 8  # characters of the shared key
+MIN_KEY_LENGTH = 8  # characters of the shared key
 ADDRESSES = ("callers", "hops", "ready", "heartbeats", "metrics", "admin")
 
 
@@ -16,10 +16,10 @@
 
     :param callers: for callers and the upstream's own calls.
     :param hops: for calls that other nodes forward.
-    :param ready: for the platform's question whether the node is ready.
-    :param heartbeats: for the heartbeats of the upstream beside it.
-    :param metrics: for the metrics; none if it is empty.
-    :param admin: for the administration API; none if it is empty.
+    :param ready: for the platform's readiness probes.
+    :param heartbeats: for the heartbeats of the local upstream.
+    :param metrics: for the metrics; disabled if empty.
+    :param admin: for the administration API; disabled if empty.
     """
 
     callers: str
@@ -31,7 +31,7 @@
 
 
 class Drain(settings.Struct):
-    """Times of leaving.
+    """Durations of the shutdown.
 
     :param grace: seconds from SIGTERM until the process is killed.
     """
@@ -40,23 +40,28 @@
 
 
 class Repeats(settings.Struct):
-    """The budget of requests that are sent to a second endpoint."""
+    """The budget for sending requests to a second endpoint.
+
+    :param ratio: retries for each request.
+    :param least: retries in each window, whatever the number of requests.
+    :param window: seconds.
+    """
 
     ratio: float = 0.2
     least: float = 10.0
     window: settings.Seconds = 10.0
 
     def budget_settings(self) -> retry_budget.Settings:
-        """Return them as the budgets take them."""
+        """Return the settings of the budget policies."""
         return retry_budget.Settings(self.ratio, self.least, self.window)
 
 
 class Limits(settings.Struct):
-    """Bounds of what a node takes and keeps.
+    """Limits on what a node accepts and holds.
 
-    :param held_bytes: bodies over 64 KiB that a node holds at once.
-    :param connections: connections that each port takes.
-    :param log_lines: lines a second for each kind of event.
+    :param held_bytes: bytes of bodies over 64 KiB that a node holds at once.
+    :param connections: connections that each port accepts.
+    :param log_lines: lines per second for each kind of event.
     """
 
     header_bytes: settings.Count = 32_768
@@ -67,22 +72,22 @@
 
 
 class Claims(settings.Struct):
-    """Times of the claims of requests that must run at most once.
+    """Durations of the claims of requests that must run at most once.
 
-    :param keep: seconds that a claim is kept after its request's deadline; must
-        exceed the time within which callers send a request again.
+    :param keep: seconds for which a claim is kept after its request's deadline; must
+        exceed the time within which callers submit a request again.
     """
 
     keep: settings.Seconds = 900.0
 
 
 class Policies(settings.Struct):
-    """Names of the plug-ins that decide.
+    """Names of the policy plug-ins.
 
     :param placement: which endpoint a request goes to.
-    :param order: which waiting request comes next.
-    :param admission: who may wait at an exit.
-    :param repeats: whether a request is sent to a second endpoint.
+    :param order: which waiting request runs next.
+    :param admission: which requests may wait at an exit.
+    :param repeats: whether a request may be sent to a second endpoint.
     """
 
     placement: str = "expected-time"
@@ -100,16 +105,17 @@
 
 
 class Settings(settings.Struct, kw_only=True):
-    """Everything that one node needs to know.
+    """All settings of one node.
 
     :param name: the node's name, unique in the fleet.
     :param zone: its availability zone.
-    :param service: service of the upstream beside it.
+    :param service: service of the local upstream.
     :param upstream: ``host:port`` of that upstream.
     :param store: ``host:port`` of the platform's store.
     :param heartbeat_ms: milliseconds between two heartbeats of an upstream.
-    :param key: secret that nodes prove to each other; none if it is empty.
-    :param tokens: who may use the administration API.
+    :param key: secret with which nodes authenticate to each other; nodes do not
+        authenticate if it is empty.
+    :param tokens: tokens of the administration API.
     """
 
     name: str
@@ -130,30 +136,33 @@
 
 
 def parse(text: str, where: str = "settings") -> Settings:
-    """Decode and check settings given as YAML text."""
+    """Decode and validate settings given as YAML text.
+
+    Raise a coded failure that names the line if they are invalid.
+    """
     found = documents.decode(text, Settings, where)
     try:
-        check(found, where)
+        validate(found, where)
     except codes.Failure as failure:
         raise documents.add_line_number(failure, text, where)
     return found
 
 
 def load(path: str) -> Settings:
-    """Read and check a settings file; raise a coded failure on any error."""
+    """Read and validate a settings file; raise a coded failure on any error."""
     return parse(documents.read(path), path)
 
 
-def check(found: Settings, where: str) -> None:
-    """Check what types can't say: addresses, tokens, names of plug-ins."""
+def validate(found: Settings, where: str) -> None:
+    """Validate what the types do not cover: addresses, tokens, names of plug-ins."""
     for name in ("name", "zone", "service"):
         settings.check_word(getattr(found, name), name, where)
     settings.check_address(found.store, "store", where)
     settings.check_address(found.upstream, "upstream", where)
     settings.check_tokens(found.tokens, where)
-    if found.key and len(found.key) < KEY_LENGTH_LEAST:
+    if found.key and len(found.key) < MIN_KEY_LENGTH:
         settings.raise_bad_field(
-            where, "key", f"shorter than {KEY_LENGTH_LEAST} characters"
+            where, "key", f"shorter than {MIN_KEY_LENGTH} characters"
         )
     seen: set[str] = set()
     for name in ADDRESSES:
@@ -161,7 +170,9 @@
         settings.check_address(address, f"listen.{name}", where)
         if address and address in seen:
             settings.raise_bad_field(
-                where, f"listen.{name}", f"{address} has another use"
+                where,
+                f"listen.{name}",
+                f"{address} is already used by another listener",
             )
         seen.add(address)
     for name, plugins in PLUGINS.items():
@@ -169,22 +180,22 @@
         if chosen not in plugins.items:
             known = ", ".join(plugins.names())
             settings.raise_bad_field(
-                where, f"policies.{name}", f"{chosen!r}; known: {known}"
+                where, f"policies.{name}", f"unknown plug-in {chosen!r}; known: {known}"
             )
 
 
 class SettingsFile:
     """A settings file that may change at any time.
 
-    :param path: where it lies.
+    :param path: path of the file.
     """
 
     def __init__(self, path: str):
         self.path = path
-        self.stamp = self.look()
+        self.stamp = self.read_stamp()
 
-    def look(self) -> tuple[int, int, int]:
-        """Return what tells one content of the file from another."""
+    def read_stamp(self) -> tuple[int, int, int]:
+        """Return inode, modification time and size; zeros if the file is missing."""
         try:
             found = os.stat(self.path)
         except OSError:
@@ -192,8 +203,8 @@
         return (found.st_ino, found.st_mtime_ns, found.st_size)
 
     def changed(self) -> bool:
-        """Whether the file is another one than at the last look."""
-        stamp = self.look()
+        """Return whether the file has changed since the last call."""
+        stamp = self.read_stamp()
         if stamp == self.stamp:
             return False
         self.stamp = stamp
--- a/rattanridge/mesh/suspects.py
+++ b/rattanridge/mesh/suspects.py
@@ -1,4 +1,4 @@
-"""Holds back requests of which upstreams die; nodes share what they saw.
+"""Quarantines requests that crash upstreams; nodes share their evidence.
 
 The evidence of a node is part of its record in the store, which all nodes follow
 anyway.
@@ -14,11 +14,13 @@
 
 
 class Suspects:
-    """One node's evidence, and what it knows of the others'.
+    """The evidence of this node and of all others; refuses quarantined requests.
+
+    ``listeners`` are called when this node's evidence has changed.
 
     :param node: the node's name.
-    :param wall: returns the seconds since the epoch; nodes have no other clock
-        in common.
+    :param wall_clock: returns the seconds since the epoch, which is the only clock
+        that nodes have in common.
     """
 
     def __init__(
@@ -26,69 +28,72 @@
         node: str,
         log: events.Events,
         meters: events.Meters,
-        wall: collections.abc.Callable[[], float] = time.time,
+        wall_clock: collections.abc.Callable[[], float] = time.time,
     ):
         self.node = node
         self.log = log
         self.meters = meters
-        self.wall = wall
+        self.wall_clock = wall_clock
         self.evidence = quarantine.CrashEvidence()
         self.quarantine = quarantine.Quarantine()
         self.listeners: list[collections.abc.Callable[[], None]] = []
 
     def check(self, call: calls.Call) -> None:
-        """Refuse a request that is held back."""
+        """Raise ``quarantined`` if a request is held back."""
         if not self.quarantine.reported:
             return
         name = fingerprint(call)
-        if self.quarantine.is_quarantined(name, self.wall()):
+        if self.quarantine.is_quarantined(name, self.wall_clock()):
             raise codes.Failure(
                 codes.QUARANTINED, name, retry_after=quarantine.EVIDENCE_TTL / 2
             )
 
     def record_broken_call(self, call: calls.Call, ran_for: float) -> None:
-        """The upstream's connection broke under a request."""
+        """Record that the upstream's connection broke during a request.
+
+        :param ran_for: seconds since the request was sent.
+        """
         now = asyncio.get_running_loop().time()
         self.evidence.record_broken_request(fingerprint(call), ran_for, now)
 
     def record_upstream_end(self) -> None:
-        """The upstream has ended: requests that began just before are suspect."""
+        """Record the end of the upstream: requests sent just before are suspects."""
         now = asyncio.get_running_loop().time()
-        if self.evidence.record_crash(now, self.wall()):
+        if self.evidence.record_crash(now, self.wall_clock()):
             self.meters.add("requests-suspected")
             self.log.note("requests-suspected", names=",".join(self.evidence.suspects))
-            self.tell()
+            self.notify()
 
     def record_answer(self, call: calls.Call) -> None:
-        """The upstream answered a request: it does not die of it."""
+        """Clear a request that the upstream answered: it did not crash it."""
         if not self.quarantine.reported:
             return
         name = fingerprint(call)
-        self.quarantine.clear(name, self.wall())
+        self.quarantine.clear(name, self.wall_clock())
         if self.evidence.clear(name):
-            self.tell()
+            self.notify()
 
     def expire(self) -> None:
         """Drop evidence that is too old."""
-        if self.evidence.expire(self.wall()):
-            self.tell()
+        if self.evidence.expire(self.wall_clock()):
+            self.notify()
 
-    def own(self) -> tuple[quarantine.Suspect, ...]:
+    def own_evidence(self) -> tuple[quarantine.Suspect, ...]:
         """Return the evidence of this node."""
         return tuple(self.evidence.suspects.values())
 
-    def take(self, node: str, found: tuple[quarantine.Suspect, ...]) -> None:
-        """Take over the evidence of a node."""
+    def apply(self, node: str, found: tuple[quarantine.Suspect, ...]) -> None:
+        """Apply the evidence that another node published; an empty one removes it."""
         if node != self.node:
             self.quarantine.apply(node, found)
 
-    def tell(self) -> None:
-        """Count the own evidence and let it be published."""
-        self.quarantine.apply(self.node, self.own())
+    def notify(self) -> None:
+        """Apply this node's evidence, and call the listeners, which publish it."""
+        self.quarantine.apply(self.node, self.own_evidence())
         for listener in self.listeners:
             listener()
 
 
 def fingerprint(call: calls.Call) -> str:
-    """Return the hash by which a request is known again."""
+    """Return the hash that identifies a request."""
     return quarantine.fingerprint(call.method, call.path, call.body)
--- a/rattanridge/mesh/upstream.py
+++ b/rattanridge/mesh/upstream.py
@@ -1,4 +1,4 @@
-"""The upstream beside the node: what is known of it, from its heartbeats."""
+"""The state of the local upstream, from its heartbeats and answers."""
 
 import asyncio
 import collections.abc
@@ -9,15 +9,18 @@
 from rattanridge.mesh import events, settings
 from rattanridge.platform import heartbeats
 
-FIRST_PAUSE = 0.1  # seconds without requests after a failed connection
-LONGEST_PAUSE = 1.0  # seconds
-TRUST = 2.5  # heartbeat intervals for which an earlier process's record is believed
-SILENT = 2.5  # heartbeat intervals without any sign after which an upstream is doubted
-STUCK = 1.0  # seconds without an answer, while requests run, that add to the doubt
+FIRST_BACKOFF = 0.1  # seconds without requests after a failed connection; doubles
+MAX_BACKOFF = 1.0  # seconds
+RESTORED_INTERVALS = 2.5  # heartbeat intervals for which a restored state is valid
+SILENT_INTERVALS = 2.5  # heartbeat intervals without a heartbeat: may be unresponsive
+ANSWER_TIMEOUT = 1.0  # seconds without an answer to running requests that confirm it
 
 
 class State(enum.StrEnum):
-    """What an upstream may be given."""
+    """Whether an upstream accepts requests.
+
+    ``UNKNOWN`` until the first heartbeat, ``GONE`` after a farewell.
+    """
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -29,8 +32,8 @@
 class Identity:
     """One incarnation of an upstream.
 
-    :param endpoint: its id.
-    :param incarnation: milliseconds since the epoch of its start.
+    :param endpoint: the upstream's id.
+    :param incarnation: start of the upstream, in milliseconds since the epoch.
     """
 
     endpoint: str
@@ -38,7 +41,7 @@
 
 
 class Upstream:
-    """Follows the upstream's heartbeats; ``listeners`` hear of each change.
+    """Tracks the local upstream; calls ``listeners`` after each change.
 
     :param config: the node's settings.
     """
@@ -66,9 +69,12 @@
         return asyncio.get_running_loop().time()
 
     def restore(self, identity: Identity, state: str, version: str, slots: int) -> None:
-        """Believe for a while what an earlier process of this node had published.
+        """Restore the state that an earlier process of this node published.
+
+        It is valid for RESTORED_INTERVALS, or until a heartbeat confirms it.
 
-        :param state: as published; one that stopped had a ready upstream.
+        :param state: the published state. Any state but draining and gone means that
+            the upstream was ready, including that of a node that was stopping.
         """
         self.identity = identity
         self.version = version
@@ -77,12 +83,12 @@
         self.state = State(state) if leaving else State.READY
         self.heartbeat_at = self.now()
         self.log.info("upstream-restored", endpoint=identity.endpoint)
-        self.tell()
+        self.notify()
 
     def record_heartbeat(self, beat: heartbeats.Heartbeat) -> bool:
-        """Take a heartbeat; return False if it is older than what is known."""
+        """Apply a heartbeat; return False if it is older than the known state."""
         identity = Identity(beat.endpoint, beat.incarnation)
-        if not self.is_news(identity, beat.sequence):
+        if not self.is_newer(identity, beat.sequence):
             self.log.note(
                 "heartbeat-old", endpoint=beat.endpoint, sequence=beat.sequence
             )
@@ -110,11 +116,14 @@
                 sequence=beat.sequence,
                 version=beat.version,
             )
-            self.tell()
+            self.notify()
         return True
 
-    def is_news(self, identity: Identity, sequence: int) -> bool:
-        """Whether a heartbeat is newer than what is known."""
+    def is_newer(self, identity: Identity, sequence: int) -> bool:
+        """Return whether a heartbeat is newer than the known state.
+
+        After a farewell, only another identity is newer.
+        """
         known = self.identity
         if known is None:
             return True
@@ -127,7 +136,10 @@
         return sequence > self.sequence
 
     def record_farewell(self, endpoint: str, incarnation: int) -> None:
-        """Take an upstream's farewell; one of an earlier incarnation is ignored."""
+        """Apply a farewell; ignore that of another endpoint or earlier incarnation.
+
+        :param incarnation: 0 if the farewell names none.
+        """
         known = self.identity
         if known is not None:
             if known.endpoint != endpoint:
@@ -137,59 +149,89 @@
         self.identity = known or Identity(endpoint, incarnation)
         self.state = State.GONE
         self.log.info("upstream-changed", endpoint=endpoint, state=self.state)
-        self.tell()
+        self.notify()
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         for listener in self.listeners:
             listener()
 
     def refusal(self, service: str) -> codes.Failure | None:
-        """Return why a request can't be given to the upstream now, if so."""
+        """Return why the upstream cannot get a request now; None if it can.
+
+        :param service: the service that the request is for.
+        """
         now = self.now()
         if self.state is State.UNKNOWN:
-            return codes.Failure(codes.NO_ENDPOINT, "no heartbeat yet")
+            return codes.Failure(
+                codes.NO_ENDPOINT, "no heartbeat of the local upstream yet"
+            )
         if service != self.service:
             return codes.Failure(codes.WRONG_ENDPOINT, service)
         if self.state is not State.READY:
             return codes.Failure(codes.DRAINING)
         if now < self.paused_until:
-            return codes.Failure(codes.CONNECT_FAILED, "failed just now")
+            return codes.Failure(
+                codes.CONNECT_FAILED,
+                f"a connection failed less than {MAX_BACKOFF} s ago",
+            )
         interval = self.config.heartbeat_ms / 1000
-        if not self.confirmed and now - self.heartbeat_at > TRUST * interval:
-            return codes.Failure(codes.NO_ENDPOINT, "the record is not confirmed")
+        if (
+            not self.confirmed
+            and now - self.heartbeat_at > RESTORED_INTERVALS * interval
+        ):
+            return codes.Failure(
+                codes.NO_ENDPOINT, "no heartbeat has confirmed the restored record"
+            )
         return None
 
     def record_request(self, running: int) -> None:
-        """A request is sent to it, beside ``running`` others."""
+        """Record that a request is sent to the upstream.
+
+        :param running: requests that it already runs.
+        """
         if not running:
             self.busy_since = self.now()
 
     def is_unresponsive(self, running: int) -> bool:
-        """Whether it seems dead: no heartbeat, and no answer while requests run."""
+        """Return whether the upstream appears to be unresponsive.
+
+        True if no heartbeat came for SILENT_INTERVALS, and no answer for
+        ANSWER_TIMEOUT seconds while requests run. Late heartbeats alone do not count,
+        so that an idle upstream still gets requests.
+
+        :param running: requests that it runs.
+        """
         now = self.now()
-        silent = now - self.heartbeat_at > SILENT * self.config.heartbeat_ms / 1000
+        silent = (
+            now - self.heartbeat_at > SILENT_INTERVALS * self.config.heartbeat_ms / 1000
+        )
         owed_since = max(self.answered_at, self.busy_since)
-        return silent and running > 0 and now - owed_since > STUCK
+        return silent and running > 0 and now - owed_since > ANSWER_TIMEOUT
 
     def record_answer(self) -> None:
-        """An answer came from it."""
+        """Record that the upstream answered a request."""
         self.failures = 0
         self.paused_until = 0.0
         self.answered_at = self.now()
 
     def record_unreachable(self, why: str) -> None:
-        """It took no connection: send it nothing for a moment."""
+        """Record a failed connection: send no requests for a growing pause."""
         now = self.now()
         if now < self.paused_until:
             return
-        pause = min(FIRST_PAUSE * 2**self.failures, LONGEST_PAUSE)
+        pause = min(FIRST_BACKOFF * 2**self.failures, MAX_BACKOFF)
         self.failures += 1
         self.paused_until = now + pause
         self.log.note("upstream-unreachable", why=why, pause=pause)
 
     def record_misdirected(self, identity: Identity | None) -> None:
-        """Another upstream answers at the address: wait for its heartbeat."""
+        """Record that another upstream answers at the address.
+
+        The state is unknown until its heartbeat comes.
+
+        :param identity: the upstream that the request was meant for.
+        """
         if self.identity == identity and self.state is State.READY:
             self.state = State.UNKNOWN
             self.log.info("upstream-replaced", endpoint=identity.endpoint)
-            self.tell()
+            self.notify()
--- a/rattanridge/mesh/versions.py
+++ b/rattanridge/mesh/versions.py
@@ -1,4 +1,4 @@
-"""Which version of a service a request goes to, by the operator's orders."""
+"""Selects the version of a service that a request goes to, by the operator's orders."""
 
 import collections.abc
 import dataclasses
@@ -9,7 +9,7 @@
 from rattanridge.platform import orders, store as stores
 from rattanridge.policies import majority, placement
 
-Found = list[placement.Candidate]
+Candidates = list[placement.Candidate]
 
 
 @dataclasses.dataclass(slots=True)
@@ -17,7 +17,7 @@
     """An order with its status, as the store holds them.
 
     :param seen_at: monotonic seconds when the order was first seen here.
-    :param changed_at: monotonic seconds when its status last changed here.
+    :param changed_at: monotonic seconds when the object last changed here.
     """
 
     order: orders.Order
@@ -26,32 +26,32 @@
     seen_at: float
     changed_at: float
 
-    def answer(self) -> orders.Status | None:
-        """Return the status if it answers this order, not an earlier one."""
+    def current_status(self) -> orders.Status | None:
+        """Return the status; None if it belongs to an earlier order."""
         return current_status(self.order, self.status)
 
     def state(self) -> str:
-        """Return the state; an order without an answer to it is running."""
-        answer = self.answer()
-        return answer.state if answer is not None else orders.RUNNING
+        """Return the state; an order without a status of its own is running."""
+        status = self.current_status()
+        return status.state if status is not None else orders.RUNNING
 
     def share(self) -> float:
-        """Return the part of the requests that the new version gets."""
-        answer = self.answer()
-        return answer.share if answer is not None else 0.0
+        """Return the share of the requests, 0 to 1, that the new version gets."""
+        status = self.current_status()
+        return status.share if status is not None else 0.0
 
 
 def current_status(
     order: orders.Order, status: orders.Status | None
 ) -> orders.Status | None:
-    """Return a status if it answers an order, not an earlier one."""
+    """Return the status if it belongs to the order, None if to an earlier one."""
     if status is None or status.version != order.version:
         return None
     return status
 
 
 class Versions:
-    """Follows the orders and divides the candidates by version.
+    """Follows the rollout orders, and filters candidates by version.
 
     :param now: returns the monotonic seconds.
     """
@@ -68,16 +68,16 @@
         self.random = random.Random()
         self.rollouts: dict[str, Rollout] = {}
 
-    def take_all(self, items: list[stores.StoredObject]) -> None:
-        """Take over a whole list."""
+    def apply_all(self, items: list[stores.StoredObject]) -> None:
+        """Apply a complete list; a rollout that is not in it is dropped."""
         names = {item.name for item in items}
         for name in [name for name in self.rollouts if name not in names]:
             del self.rollouts[name]
         for item in items:
-            self.take(item)
+            self.apply(item)
 
-    def take(self, item: stores.StoredObject) -> None:
-        """Take over one order or its status; an unreadable one is left out."""
+    def apply(self, item: stores.StoredObject) -> None:
+        """Apply a changed order or status; ignore an unreadable one."""
         if item.deleted:
             self.rollouts.pop(item.name, None)
             return
@@ -95,7 +95,7 @@
         seen_at = known.seen_at if same else now
         fresh = Rollout(order, status, item.revision, seen_at, now)
         self.rollouts[order.service] = fresh
-        self.meters.share.labels(order.service).set(fresh.share())
+        self.meters.rollout_share.labels(order.service).set(fresh.share())
         self.log.info(
             "rollout-seen",
             service=order.service,
@@ -105,18 +105,23 @@
             revision=item.revision,
         )
 
-    def keep(self, service: str, found: Found, again: bool = False) -> Found:
-        """Keep the candidates of the version that a request goes to.
+    def filter_candidates(
+        self, service: str, candidates: Candidates, retry: bool = False
+    ) -> Candidates:
+        """Return the candidates of the version that a request goes to.
 
-        :param again: whether the request was sent somewhere already; then the
-            old version is the safer one.
+        Without a rollout this is the version with the most endpoints. During one it
+        is drawn at random, by the share of the new version.
+
+        :param retry: whether the request was already sent to an endpoint. It then goes
+            to the old version, which is safer, until the share is 1.
         """
         rollout = self.rollouts.get(service)
         if rollout is None:
-            return majority.keep_majority_version(found)
+            return majority.keep_majority_version(candidates)
         target = rollout.order.version
-        new = [item for item in found if item.version == target]
-        old = [item for item in found if item.version != target]
+        new = [item for item in candidates if item.version == target]
+        old = [item for item in candidates if item.version != target]
         state = rollout.state()
         if state == orders.ROLLED_BACK:
             return old
@@ -125,7 +130,7 @@
         share = rollout.share()
         if not old:
             return new
-        if not new or self.random.random() >= share or (again and share < 1.0):
+        if not new or self.random.random() >= share or (retry and share < 1.0):
             return old
         if rollout.status.one_endpoint:
             return [min(new, key=lambda item: item.endpoint)]
--- a/rattanridge/mesh/watching.py
+++ b/rattanridge/mesh/watching.py
@@ -8,20 +8,28 @@
 from rattanridge.mesh import events
 from rattanridge.platform import store as stores
 
-WAIT = (4.0, 10.0)  # seconds that a watch waits; nodes must not renew theirs together
-DOUBT_PAUSE = 2.0  # seconds between two lists that a doubt causes
-FIRST_PAUSE = 0.1  # seconds before the first call after a failed one
-LONGEST_PAUSE = 0.9  # seconds
-LIST_SPREAD = 0.15  # seconds over which nodes spread the lists of a lost history
-STORM_GAP = 2.0  # seconds; changes closer to one another are a storm
-STORM_SETTLE = 0.9  # seconds between two lists in a storm
-
-TakeAll = collections.abc.Callable[[list[stores.StoredObject]], None]
-TakeOne = collections.abc.Callable[[stores.StoredObject], None]
-
-
-class Health:
-    """What a node knows of the store. While it is away, one watch tries it for all."""
+# Seconds that one watch call waits for changes. Random within the range, so that the
+# nodes do not renew their watches at the same time.
+WATCH_WAIT = (4.0, 10.0)
+RELIST_INTERVAL = 2.0  # seconds at least between two requests to list all kinds again
+FIRST_RETRY_DELAY = 0.1  # seconds before the first call after a failed one; doubles
+MAX_RETRY_DELAY = 0.9  # seconds
+RELIST_JITTER = (
+    0.15  # seconds over which nodes spread the list calls after a lost watch
+)
+STORM_GAP = 2.0  # seconds; changes that follow each other faster are a storm
+STORM_LIST_INTERVAL = 0.9  # seconds between two lists during a storm
+
+ApplyAll = collections.abc.Callable[[list[stores.StoredObject]], None]
+ApplyOne = collections.abc.Callable[[stores.StoredObject], None]
+
+
+class StoreHealth:
+    """Whether the store can be reached.
+
+    While it cannot, one of the node's watches retries on behalf of all of them, so
+    that an outage costs few calls.
+    """
 
     def __init__(self, log: events.Events, rng: random.Random | None = None):
         self.log = log
@@ -29,171 +37,188 @@
         self.up = asyncio.Event()
         self.up.set()
         self.prober: object | None = None
-        self.pause = FIRST_PAUSE
+        self.retry_delay = FIRST_RETRY_DELAY
         self.lost_at = 0.0
-        self.doubted_at = float("-inf")
+        self.relisted_at = float("-inf")
         self.watches: list[Watch] = []
 
-    def doubt(self, why: str) -> None:
-        """Watches may have missed changes: list all kinds again."""
+    def relist(self, why: str) -> None:
+        """Make all watches list their kind again, as they may have missed changes.
+
+        Does nothing within RELIST_INTERVAL seconds of the last time.
+        """
         now = asyncio.get_running_loop().time()
-        if now - self.doubted_at < DOUBT_PAUSE:
+        if now - self.relisted_at < RELIST_INTERVAL:
             return
-        self.doubted_at = now
+        self.relisted_at = now
         self.log.info("watches-doubted", why=why)
         for watch in self.watches:
             watch.interrupt()
 
-    def succeeded(self) -> None:
-        """A call was answered."""
+    def record_success(self) -> None:
+        """Record that the store answered a call."""
         if not self.up.is_set():
             away = asyncio.get_running_loop().time() - self.lost_at
             self.log.info("store-regained", away=away)
         self.up.set()
         self.prober = None
-        self.pause = FIRST_PAUSE
+        self.retry_delay = FIRST_RETRY_DELAY
+
+    async def back_off(self, caller: object, failure: codes.Failure) -> None:
+        """Record a failed call, and wait until its caller may try again.
 
-    async def failed(self, who: object, failure: codes.Failure) -> None:
-        """A call failed: wait for the time of the next one."""
+        The first caller that fails becomes the prober, which waits for a growing
+        delay. All others wait until the store is reachable.
+        """
         if self.up.is_set():
             self.up.clear()
             self.lost_at = asyncio.get_running_loop().time()
             self.log.info("store-lost", code=failure.code.number, why=failure.detail)
-        if self.prober not in (None, who):
+        if self.prober not in (None, caller):
             await self.up.wait()
             return
-        self.prober = who
-        pause = self.pause * self.random.uniform(0.7, 1.3)
-        self.pause = min(self.pause * 2, LONGEST_PAUSE)
-        await asyncio.sleep(pause)
+        self.prober = caller
+        delay = self.retry_delay * self.random.uniform(0.7, 1.3)
+        self.retry_delay = min(self.retry_delay * 2, MAX_RETRY_DELAY)
+        await asyncio.sleep(delay)
 
 
 class Watch:
-    """Follows one kind.
-
-    :param take_all: gets all objects after a list.
-    :param take: gets one changed or deleted object.
-    :param settle: seconds after a change before the next watch; changes that
-        gather meanwhile come with one call.
-    :param stale: whether changes may be heard seconds late; it is much cheaper.
-    :param large: whether the objects are large. A watch returns all versions since
-        the last one; in a storm of changes a list returns the newest ones only,
-        which keeps slow links free.
-    :param heard: called at each answer of the store, also if nothing changed.
+    """Follows the objects of one kind.
+
+    :param apply_all: called with all objects after a list.
+    :param apply: called with each changed or deleted object.
+    :param batch_delay: seconds from a change to the next watch call, which then
+        returns all changes made meanwhile.
+    :param allow_stale: whether changes may arrive seconds late, which costs the store
+        much less.
+    :param large: whether the objects are large. A watch returns every version since
+        the last one, a list only the newest ones. During a storm of changes the
+        watch therefore lists, which keeps slow links free.
+    :param on_answer: called at each answer of the store, also if nothing changed.
     """
 
     def __init__(
         self,
         store: stores.Store,
         kind: str,
-        health: Health,
-        take_all: TakeAll,
-        take: TakeOne,
+        health: StoreHealth,
+        apply_all: ApplyAll,
+        apply: ApplyOne,
         log: events.Events,
-        settle: float,
-        stale: bool = False,
+        batch_delay: float,
+        allow_stale: bool = False,
         large: bool = False,
-        heard: collections.abc.Callable[[], None] | None = None,
+        on_answer: collections.abc.Callable[[], None] | None = None,
     ):
         self.large = large
-        self.heard = heard
+        self.on_answer = on_answer
         self.changed_at = float("-inf")
-        self.settle = settle
-        self.stale = stale
+        self.batch_delay = batch_delay
+        self.allow_stale = allow_stale
         self.store = store
         self.kind = kind
         self.health = health
-        self.take_all = take_all
-        self.take = take
+        self.apply_all = apply_all
+        self.apply = apply
         self.log = log
         self.revision = 0
         self.newest = 0
         self.listed = False
         self.answered_at = 0.0
-        self.waiting: asyncio.Task | None = None
-        self.doubted = False
+        self.pending: asyncio.Task | None = None
+        self.interrupted = False
         health.watches.append(self)
 
     async def run(self) -> None:
-        """Follow the kind for ever."""
+        """Follow the kind until cancelled."""
         while True:
             try:
                 await self.list()
                 while True:
-                    await self.step()
+                    await self.watch_once()
             except codes.Failure as failure:
                 if failure.code is codes.WATCH_LOST:
                     self.log.info("watch-lost", kind=self.kind, revision=self.revision)
-                    self.health.doubt(failure.detail)
-                    await asyncio.sleep(self.health.random.uniform(0.0, LIST_SPREAD))
+                    self.health.relist(failure.detail)
+                    await asyncio.sleep(self.health.random.uniform(0.0, RELIST_JITTER))
                     continue
-                await self.health.failed(self, failure)
+                await self.health.back_off(self, failure)
 
     async def list(self) -> None:
-        """Take over all objects, unless the answer is older than what is known."""
-        self.doubted = False
+        """List all objects and apply them; raise ``platform-busy`` if the list is old.
+
+        A list is old if its revision is lower than one that was already received.
+        """
+        self.interrupted = False
         listing = await self.store.list(self.kind)
-        self.hear()
+        self.record_answer()
         if listing.revision < self.revision:
             self.log.info("list-old", kind=self.kind, revision=listing.revision)
-            raise codes.Failure(codes.PLATFORM_BUSY, "an old list")
+            raise codes.Failure(
+                codes.PLATFORM_BUSY,
+                f"list of revision {listing.revision} is older than {self.revision}",
+            )
         self.revision = listing.revision
         self.newest = max((item.revision for item in listing.items), default=0)
-        self.take_all(listing.items)
+        self.apply_all(listing.items)
         self.listed = True
 
-    async def step(self) -> None:
-        """Wait for changes once and take them over."""
-        if self.doubted:
-            raise codes.Failure(codes.WATCH_LOST, "doubted")
-        wait = self.health.random.uniform(*WAIT)
-        self.waiting = asyncio.create_task(
-            self.store.watch(self.kind, self.revision, wait, self.stale)
+    async def watch_once(self) -> None:
+        """Make one watch call and apply the changes that it returns.
+
+        Raise ``watch-lost`` if the watch was interrupted.
+        """
+        if self.interrupted:
+            raise codes.Failure(codes.WATCH_LOST, "interrupted to list again")
+        wait = self.health.random.uniform(*WATCH_WAIT)
+        self.pending = asyncio.create_task(
+            self.store.watch(self.kind, self.revision, wait, self.allow_stale)
         )
         try:
-            changes = await self.waiting
+            changes = await self.pending
         except asyncio.CancelledError:
             if asyncio.current_task().cancelling():
                 raise
-            raise codes.Failure(codes.WATCH_LOST, "doubted")
+            raise codes.Failure(codes.WATCH_LOST, "interrupted to list again")
         finally:
-            self.waiting.cancel()
-            self.waiting = None
-        self.hear()
+            self.pending.cancel()
+            self.pending = None
+        self.record_answer()
         self.revision = max(self.revision, changes.revision)
         for item in changes.items:
-            self.take(item)
+            self.apply(item)
         if not changes.items:
             return
         if self.is_storm() and self.large:
-            await self.pass_storm()
+            await self.wait_out_storm()
         else:
-            await asyncio.sleep(self.settle)
+            await asyncio.sleep(self.batch_delay)
 
     def is_storm(self) -> bool:
-        """Whether this change came soon after the one before."""
+        """Record a change; return whether it came within STORM_GAP of the last one."""
         now = asyncio.get_running_loop().time()
         gap = now - self.changed_at
         self.changed_at = now
         return gap < STORM_GAP
 
-    async def pass_storm(self) -> None:
-        """List now and then until nothing changes any more."""
+    async def wait_out_storm(self) -> None:
+        """List every STORM_LIST_INTERVAL seconds until a list shows no change."""
         newest = -1
         while newest < self.newest:
             newest = self.newest
-            await asyncio.sleep(STORM_SETTLE)
+            await asyncio.sleep(STORM_LIST_INTERVAL)
             await self.list()
         self.log.note("watch-storm-passed", kind=self.kind, revision=self.revision)
 
     def interrupt(self) -> None:
-        """End the watch that waits, or the next one; then the kind is listed again."""
-        self.doubted = True
-        if self.waiting is not None:
-            self.waiting.cancel()
+        """End the pending watch call, or the next one, so that the kind is listed."""
+        self.interrupted = True
+        if self.pending is not None:
+            self.pending.cancel()
 
-    def hear(self) -> None:
+    def record_answer(self) -> None:
         self.answered_at = asyncio.get_running_loop().time()
-        if self.heard is not None:
-            self.heard()
-        self.health.succeeded()
+        if self.on_answer is not None:
+            self.on_answer()
+        self.health.record_success()
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 async def running():
-    """Three hosts; the first has the press. Route ``/print`` asks for no key."""
+    """Three hosts; the first one serves the press. Route ``/print`` has no key."""
     async with fleet.Fleet() as made:
         await made.add("one", "zone-a", upstreams.Shape("press", work=0.0))
         await made.add("two", "zone-a", upstreams.Shape("other"))
@@ -60,7 +60,7 @@
 
 
 class TestKeys:
-    async def test_resent_through_every_node(self, running, session):
+    async def test_repeated_through_every_node(self, running, session):
         for name in ("one", "two", "three"):
             response = await post(session, running, name)
             assert response.status == 200
@@ -68,7 +68,7 @@
         assert response.headers[headers.RECORDED] == "1"
         assert len(running.hosts["one"].upstream.runs) == 1
 
-    async def test_sent_at_once_through_every_node(self, running, session):
+    async def test_concurrent_through_every_node(self, running, session):
         running.hosts["one"].upstream.shape.work = 0.1
         answers = await asyncio.gather(
             *(post(session, running, name) for name in ("one", "two", "three"))
@@ -76,19 +76,19 @@
         assert [response.status for response in answers] == [200] * 3
         assert len(running.hosts["one"].upstream.runs) == 1
 
-    async def test_another_request_with_the_key(self, running, session):
+    async def test_another_request_with_the_same_key(self, running, session):
         await post(session, running, "two")
         response = await post(session, running, "three", body=b"another ring")
         assert response.headers[headers.CODE] == str(codes.KEY_CONFLICT.number)
         assert len(running.hosts["one"].upstream.runs) == 1
 
-    async def test_other_keys_do_not_matter(self, running, session):
+    async def test_different_keys_are_independent(self, running, session):
         for number in range(3):
             response = await post(session, running, "two", key=f"k{number}")
             assert headers.RECORDED not in response.headers
         assert len(running.hosts["one"].upstream.runs) == 3
 
-    async def test_no_key_and_no_route_with_keys_cost_nothing(self, running, session):
+    async def test_without_key_or_key_source_no_claim_is_stored(self, running, session):
         for path in ("/press/run", "/print/run"):
             for _ in range(2):
                 assert (await post(session, running, "two", path, "")).status == 200
@@ -97,7 +97,7 @@
 
 
 class TestOutcomes:
-    async def test_a_request_that_did_not_run_may_run_later(self, running, session):
+    async def test_request_that_did_not_run_may_run_later(self, running, session):
         upstream = running.hosts["one"].upstream
         upstream.faults.shed = True
         response = await post(session, running, "two")
@@ -107,7 +107,7 @@
         assert (await post(session, running, "three")).status == 200
         assert len(upstream.runs) == 1
 
-    async def test_a_request_with_an_unknown_outcome_never_runs_again(
+    async def test_request_with_unknown_outcome_never_runs_again(
         self, running, session
     ):
         upstream = running.hosts["one"].upstream
@@ -123,7 +123,7 @@
         assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         assert len(upstream.runs) == 1
 
-    async def test_caller_gone_then_resent_elsewhere(self, running, session):
+    async def test_caller_disconnects_and_repeats_elsewhere(self, running, session):
         upstream = running.hosts["one"].upstream
         upstream.shape.work = 0.4
         limit = aiohttp.ClientTimeout(total=0.1)
@@ -134,7 +134,7 @@
         assert response.headers[headers.RECORDED] == "1"
         assert [run.finished for run in upstream.runs] == [True]
 
-    async def test_node_that_held_the_claim_is_killed(self, running, session):
+    async def test_node_that_holds_the_claim_is_killed(self, running, session):
         upstream = running.hosts["one"].upstream
         upstream.shape.work = 0.6
         first = asyncio.create_task(post(session, running, "two"))
@@ -156,9 +156,9 @@
         running.store.faults.down = False
         assert (await post(session, running, "two")).status == 200
 
-    # Guards against: a request with a key waits for a silent store past its deadline
-    # (the soak's seed 5: no answer within 4 s).
-    async def test_a_silent_store_does_not_hold_an_answer_back(self, running, session):
+    # Guards against a request with a key that waits for a silent store beyond its
+    # deadline. Found in the soak with seed 5: no answer within 4 s.
+    async def test_silent_store_does_not_delay_an_answer(self, running, session):
         running.store.faults.silent = True
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -168,9 +168,10 @@
         assert response.headers[headers.RAN] == codes.Execution.UNKNOWN
         running.store.faults.silent = False
 
-    # Guards against: work begins after its caller was told that its time is over.
+    # Guards against work that starts after its caller got the answer that the deadline
+    # has passed.
     @pytest.mark.parametrize("name", ["one", "two"])
-    async def test_a_claim_that_is_granted_too_late_does_not_run(
+    async def test_request_whose_claim_is_granted_too_late_does_not_run(
         self, running, session, name
     ):
         running.store.faults.delay = 1.5
@@ -181,38 +182,39 @@
         assert not running.hosts["one"].upstream.runs
         assert not stored_claims(running)
 
-    async def test_answers_lost(self, running, session):
+    async def test_lost_answers(self, running, session):
         running.store.faults.lost = True
         assert (await post(session, running, "two")).status == 200
         running.store.faults.lost = False
         assert (await post(session, running, "three")).status == 200
         assert len(running.hosts["one"].upstream.runs) == 1
 
-    async def test_a_claim_of_a_refused_request_is_withdrawn(
+    async def test_claim_of_a_refused_request_is_withdrawn(
         self, running, session, monkeypatch
     ):
-        """Its write was taken though no answer came in time, nor could it be read."""
-        monkeypatch.setattr(claims, "TELL_PAUSE", 0.05)
+        """The claim's write took effect, but it got no answer and the claim could not
+        be read either."""
+        monkeypatch.setattr(claims, "FIRST_RETRY_DELAY", 0.05)
         node = running.hosts["two"].node
         create = node.store.create
-        look = node.claims.look
-        looks = []
+        read_claim = node.claims.read_claim
+        reads = []
 
-        async def look_later(name):
-            looks.append(name)
-            if len(looks) == 1:
+        async def fail_first(name):
+            reads.append(name)
+            if len(reads) == 1:
                 raise codes.Failure(codes.PLATFORM_DOWN)
-            return await look(name)
+            return await read_claim(name)
 
-        monkeypatch.setattr(node.claims, "look", look_later)
+        monkeypatch.setattr(node.claims, "read_claim", fail_first)
 
-        async def unsure(kind, name, spec):
+        async def lose_answer(kind, name, spec):
             if kind == claims.KIND:
                 await create(kind, name, spec)
                 raise codes.Failure(codes.PLATFORM_DOWN)
             return await create(kind, name, spec)
 
-        monkeypatch.setattr(node.store, "create", unsure)
+        monkeypatch.setattr(node.store, "create", lose_answer)
         monkeypatch.setattr(node.claims, "has_time", lambda call: False)
         response = await post(session, running, "two")
         assert response.headers[headers.CODE] == str(codes.CLAIM_UNCHECKED.number)
@@ -225,7 +227,7 @@
         await running.wait(lambda: stored_claims(running)[0].answer is not None)
         monkeypatch.setattr(claims, "SWEEP_INTERVAL", 0.01)
         monkeypatch.setattr(claims.time, "time", lambda: 1e12)
-        monkeypatch.setattr(node.claims, "leads", lambda: True)
-        sweeping = asyncio.create_task(node.claims.sweep())
+        monkeypatch.setattr(node.claims, "is_sweeper", lambda: True)
+        sweep = asyncio.create_task(node.claims.sweep())
         await running.wait(lambda: not stored_claims(running))
-        sweeping.cancel()
+        sweep.cancel()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,6 +1,7 @@
-"""The matrix: every fault at a request's way, over one node and over two.
+"""Every fault on the path of a request, over one node and over two.
 
-What must hold is counted at the upstreams, never believed from the mesh.
+The guarantees are checked against counts at the upstreams, not against what the mesh
+reports.
 """
 
 import asyncio
@@ -13,8 +14,8 @@
 from tests import mesh_world
 
 DEADLINE_MS = 900
-SHORT = 400  # milliseconds, for faults that last beyond any deadline
-LIMIT = 6.0  # seconds; only a hang takes that long
+SHORT_DEADLINE_MS = 400  # for faults that outlast any deadline
+HANG_TIMEOUT = 6.0  # seconds; only a request that hangs takes that long
 
 UPSTREAM_FAULTS = ("fail", "shed", "lose", "cut", "unproved", "stray", "silent")
 OTHER_FAULTS = (
@@ -32,15 +33,15 @@
     "store-silent",
     "caller-leaves",
 )
-# What each method goes to; unsafe work must not run more than once.
+# Path of each method's request; unsafe work must not run more than once.
 REQUESTS = {"GET": "/lookup/1", "POST": "/order/1"}
 SERVICE = {"GET": "registry", "POST": "workshop"}
 
 
-class Scene:
-    """One request while one thing goes wrong with the endpoint it is sent to.
+class FaultCase:
+    """One request, and one fault at the endpoint that it is sent to.
 
-    :param hops: 1 if the entry is beside the endpoint, else 2.
+    :param hops: 1 if the request enters at the node of the endpoint, else 2.
     """
 
     def __init__(self, world, fault, method, hops):
@@ -50,7 +51,7 @@
         self.entry = 1 if hops == 1 else 0
         self.hops = hops
         self.upstreams = []
-        self.later = []
+        self.tasks = []
 
     @property
     def node(self):
@@ -67,8 +68,8 @@
         self.upstreams = self.world.upstreams
         self.upstream.shape.work = 0.05
 
-    async def break_before(self):
-        """Do what is wrong before the request comes."""
+    async def inject_before(self):
+        """Inject a fault that precedes the request."""
         if self.fault in UPSTREAM_FAULTS:
             mesh_world.inject_fault(self.upstream, self.fault)
             self.upstream.faults.deaf = self.fault == "silent"
@@ -91,26 +92,26 @@
             case "store-silent":
                 self.world.store.faults.silent = True
 
-    async def break_meanwhile(self):
-        """Do what is wrong while the request runs."""
-        if not await self.begins():
+    async def inject_during(self):
+        """Inject a fault while the request runs."""
+        if not await self.wait_running():
             return
         match self.fault:
             case "exit-killed-meanwhile" if self.hops == 2:
                 await self.node.close()
             case "exit-stops":
-                self.begin(self.node.stop())
+                self.start_task(self.node.stop())
             case "entry-stops":
-                self.begin(self.world.nodes[self.entry].stop())
+                self.start_task(self.world.nodes[self.entry].stop())
             case "exit-reset":
                 for connection in list(self.upstream.runner.server.connections):
                     connection.transport.abort()
 
-    def begin(self, work):
-        self.later.append(asyncio.create_task(work))
+    def start_task(self, work):
+        self.tasks.append(asyncio.create_task(work))
 
-    async def begins(self):
-        """Wait until an upstream runs the request."""
+    async def wait_running(self):
+        """Wait until an upstream runs the request; return False if none does."""
         for _ in range(20):
             if any(item.running for item in self.world.upstreams):
                 return True
@@ -118,10 +119,10 @@
         return False
 
     async def run(self):
-        """Send the request; return status, headers and body, or nothing."""
-        deadline = SHORT if self.fault == "silent" else DEADLINE_MS
-        limit = 0.02 if self.fault == "caller-leaves" else LIMIT
-        task = asyncio.create_task(self.break_meanwhile())
+        """Send the request; return status, headers and body, None without answer."""
+        deadline = SHORT_DEADLINE_MS if self.fault == "silent" else DEADLINE_MS
+        limit = 0.02 if self.fault == "caller-leaves" else HANG_TIMEOUT
+        task = asyncio.create_task(self.inject_during())
         try:
             async with asyncio.timeout(limit):
                 return await self.world.call(
@@ -133,13 +134,13 @@
             await task
 
     def count(self):
-        """Return how often the request ran."""
-        wanted = REQUESTS[self.method]
-        return sum(run.path == wanted for item in self.upstreams for run in item.runs)
+        """Return how many times the request ran."""
+        path = REQUESTS[self.method]
+        return sum(run.path == path for item in self.upstreams for run in item.runs)
 
     async def finish(self):
-        """Wait until what was begun has ended."""
-        await asyncio.gather(*self.later)
+        """Wait for the tasks that the fault started."""
+        await asyncio.gather(*self.tasks)
 
 
 @pytest.fixture(params=[1, 2], ids=["one-node", "two-nodes"])
@@ -147,56 +148,56 @@
     return request.param
 
 
-class TestMatrix:
+class TestGuarantees:
     @pytest.mark.parametrize("method", ["GET", "POST"])
     @pytest.mark.parametrize("fault", [*UPSTREAM_FAULTS, *OTHER_FAULTS])
-    async def test_what_must_hold(self, fault, method, hops, monkeypatch):
+    async def test_guarantees_hold(self, fault, method, hops, monkeypatch):
         monkeypatch.setattr(connections, "UNACKED_TIMEOUT", 300)
-        monkeypatch.setattr(nodes, "QUESTIONS", 0.3)
-        monkeypatch.setattr(nodes, "CLOSING_AFTER", 0.1)
+        monkeypatch.setattr(nodes, "READINESS_WAIT", 0.3)
+        monkeypatch.setattr(nodes, "CLOSE_CONNECTIONS_AFTER", 0.1)
         world = mesh_world.World()
-        scene = Scene(world, fault, method, hops)
+        case = FaultCase(world, fault, method, hops)
         try:
-            await scene.start()
-            await scene.break_before()
-            answer = await scene.run()
-            self.check_answer(scene, answer)
-            self.check_counts(scene, answer)
-            await scene.finish()
-            await self.check_bounds(scene)
+            await case.start()
+            await case.inject_before()
+            answer = await case.run()
+            self.check_answer(case, answer)
+            self.check_counts(case, answer)
+            await case.finish()
+            await self.check_bounds(case)
         finally:
             await world.stop()
 
-    def check_answer(self, scene, answer):
-        """The answer is whole and the call's own, or a refusal with a code."""
+    def check_answer(self, case, answer):
+        """Check that the answer is complete and the call's own, or has a code."""
         if answer is None:
-            assert scene.fault == "caller-leaves"
+            assert case.fault == "caller-leaves"
             return
         status, found, body = answer
         if status == 200:
-            assert REQUESTS[scene.method].encode() in body
+            assert REQUESTS[case.method].encode() in body
             assert found[headers.RAN] == codes.Execution.RAN
         elif headers.CODE in found:
             assert int(found[headers.CODE]) in codes.TABLE
         else:
-            assert (scene.fault, status) == ("fail", 500)
+            assert (case.fault, status) == ("fail", 500)
 
-    def check_counts(self, scene, answer):
-        """Work that must not repeat ran at most once, and 'not run' is true."""
-        most = 1 if scene.method == "POST" else 2
-        assert scene.count() <= most
+    def check_counts(self, case, answer):
+        """Check that unsafe work ran at most once, and that 'not run' is true."""
+        max_runs = 1 if case.method == "POST" else 2
+        assert case.count() <= max_runs
         if answer is None:
             return
         status, found, _ = answer
         if found[headers.RAN] == codes.Execution.NOT_RUN:
-            assert scene.count() == 0
+            assert case.count() == 0
             assert status == 503
         if status == 200:
-            assert scene.count() >= 1
+            assert case.count() >= 1
 
-    async def check_bounds(self, scene):
-        """Nothing is kept: neither slots nor bytes nor requests in progress."""
-        for node in scene.world.nodes:
-            await scene.world.wait(lambda node=node: node.busy() == 0)
+    async def check_bounds(self, case):
+        """Check that all slots, bytes and requests in progress were released."""
+        for node in case.world.nodes:
+            await case.world.wait(lambda node=node: node.request_count() == 0)
             assert not node.exit.queue.waiting
             assert node.entry.memory_budget.used == 0
--- a/tests/test_mesh_rollouts.py
+++ b/tests/test_mesh_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts through nodes: done in time, taken back, and taken over."""
+"""Rollouts on running nodes: completed, rolled back, and taken over."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 async def send_until(world, condition, seconds=DURATION + 1.0):
-    """Send requests all the while; return their statuses."""
+    """Send requests until a condition holds or the time is over; return statuses."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     found = []
@@ -47,7 +47,7 @@
         await world.call("/lookup/1")
         assert len(world.upstreams[1].runs) + len(world.upstreams[2].runs) == old
 
-    async def test_waits_for_its_order(self, world):
+    async def test_gets_no_requests_without_an_order(self, world):
         await world.start("workshop", "registry", "registry", slots=12)
         await world.add("registry", "a", 12, "v2")
         await world.wait_for_endpoints()
@@ -56,9 +56,9 @@
         assert not world.upstreams[3].runs
 
     async def test_another_node_takes_over(self, world, monkeypatch):
-        monkeypatch.setattr(coordinator, "TAKEOVER", 1.0)
-        monkeypatch.setattr(coordinator, "RANK_WAIT", 0.3)
-        monkeypatch.setattr(coordinator, "BEAT", 0.5)
+        monkeypatch.setattr(coordinator, "TAKEOVER_TIMEOUT", 1.0)
+        monkeypatch.setattr(coordinator, "RANK_DELAY", 0.3)
+        monkeypatch.setattr(coordinator, "RENEW_INTERVAL", 0.5)
         await start(world)
         await send_until(world, lambda: state(world) == orders.RUNNING)
         stored = world.store.objects[orders.KIND, "registry"]
@@ -73,7 +73,7 @@
 
 class TestBadVersion:
     @pytest.mark.parametrize("fault", ["fail", "slow"])
-    async def test_is_taken_back_soon(self, world, fault):
+    async def test_is_rolled_back_soon(self, world, fault):
         await start(world)
         bad = world.upstreams[3]
         if fault == "fail":
@@ -90,12 +90,13 @@
             await world.call("/lookup/1")
         assert len(bad.runs) == before
 
-    async def test_is_braked_while_the_store_is_away(self, world):
+    async def test_is_braked_while_store_answers_are_lost(self, world):
         await start(world)
         bad = world.upstreams[3]
-        share = world.nodes[0].versions
+        versions = world.nodes[0].versions
         await send_until(
-            world, lambda: share.rollouts and share.rollouts["registry"].share() > 0.05
+            world,
+            lambda: versions.rollouts and versions.rollouts["registry"].share() > 0.05,
         )
         mesh_world.inject_fault(bad, "fail")
         await send_until(world, lambda: len(bad.runs) > 3, 3.0)
@@ -105,8 +106,8 @@
         world.store.faults.lost = False
 
 
-class TestRoom:
-    async def test_a_version_without_enough_endpoints_is_taken_back(self, world):
+class TestCapacity:
+    async def test_version_with_too_few_endpoints_is_rolled_back(self, world):
         await world.start("workshop", "registry", "registry", slots=12)
         await world.add("registry", "b", 6, "v2")
         await world.wait_for_endpoints()
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -1,4 +1,4 @@
-"""What nodes believe while the store misbehaves, and after it."""
+"""State of the nodes while the store fails, and afterwards."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class TestConfiguration:
-    async def test_a_newer_version_is_in_force_soon(self, world):
+    async def test_newer_version_is_applied_soon(self, world):
         await world.start("registry", "workshop")
         await world.configure(2, mesh_world.route("new", "/new/", "registry"))
         await world.wait(
@@ -21,7 +21,7 @@
         assert (await world.call("/new/1"))[0] == 200
         assert (await world.call("/lookup/1"))[0] == 404
 
-    async def test_an_older_version_changes_nothing(self, world):
+    async def test_older_version_is_ignored(self, world):
         await world.start("registry")
         await world.configure(9, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 9)
@@ -42,14 +42,14 @@
             ),
         ],
     )
-    async def test_a_wrong_one_changes_nothing(self, world, data):
+    async def test_invalid_configuration_is_ignored(self, world, data):
         await world.start("registry")
         await world.store.put(configs.KIND, configs.NAME, data)
         await asyncio.sleep(0.3)
         assert world.nodes[0].configs.version == 1
         assert (await world.call("/lookup/1"))[0] == 200
 
-    async def test_a_node_without_one_refuses_truly(self, world):
+    async def test_node_without_configuration_refuses_as_not_run(self, world):
         await world.open()
         adding = asyncio.create_task(world.add("registry"))
         await world.wait(lambda: world.nodes)
@@ -61,7 +61,9 @@
 
 class TestOutage:
     @pytest.mark.parametrize("fault", ["down", "silent"])
-    async def test_requests_go_on_and_news_come_after_it(self, world, fault):
+    async def test_requests_are_served_and_changes_applied_afterwards(
+        self, world, fault
+    ):
         await world.start("registry", "workshop")
         setattr(world.store.faults, fault, True)
         for node in world.nodes:
@@ -75,8 +77,9 @@
             lambda: all(node.configs.version == 4 for node in world.nodes), 4.0
         )
 
-    # Guards against: a watch that was begun while the store was silent goes on waiting
-    # for up to 10.8 s after its return, and an endpoint that came before is not known.
+    # Guards against a watch that was started while the store was silent and keeps
+    # waiting for up to 10.8 s after the store's return. The node then lacks an endpoint
+    # that was added in the meantime.
     async def test_endpoints_are_known_soon_after_a_silent_store(self, world):
         await world.start("workshop")
         await world.store.put(records.KIND, "other", b"{}")
@@ -93,7 +96,7 @@
             while not await served():
                 await asyncio.sleep(0.05)
 
-    async def test_an_outage_costs_few_calls(self, world):
+    async def test_outage_causes_few_calls(self, world):
         await world.start("registry", "workshop")
         world.store.faults.down = True
         await world.store.put("config", "other", b"{}")
@@ -101,21 +104,21 @@
         await asyncio.sleep(2.0)
         assert world.store.calls - before < 20
 
-    async def test_deaf_watches_are_doubted_once_another_node_knows(self, world):
-        """The store's watches hear nothing while a change is made."""
+    async def test_missed_change_is_read_once_a_peer_reports_it(self, world):
+        """The store's watches miss a change that another node has applied."""
         await world.start("workshop", "registry")
         world.store.faults.deaf = True
         fresh = mesh_world.route("new", "/new/", "registry")
         await world.configure(4, *mesh_world.DEFAULT_ROUTES, fresh)
-        knowing = world.nodes[0]
-        knowing.configs.take(await knowing.store.get(configs.KIND, configs.NAME))
+        ahead = world.nodes[0]
+        ahead.configs.apply(await ahead.store.get(configs.KIND, configs.NAME))
         await world.call("/lookup/1")
         await world.wait(lambda: world.nodes[1].configs.version == 4, 1.5)
         assert (await world.call("/new/1", node=1))[0] == 200
 
-    async def test_one_mute_watch_casts_doubt_on_all(self, world, monkeypatch):
-        """The store cuts watches without a word and forgets its history."""
-        monkeypatch.setattr(watching, "WAIT", (0.2, 0.4))
+    async def test_one_failed_watch_makes_all_list_again(self, world, monkeypatch):
+        """The store stops answering watches and drops its history."""
+        monkeypatch.setattr(watching, "WATCH_WAIT", (0.2, 0.4))
         monkeypatch.setattr(stores, "WATCH_MARGIN", 0.2)
         await world.start("workshop")
         node = world.nodes[0]
@@ -123,25 +126,27 @@
         await asyncio.sleep(0.5)
         await world.configure(4, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: node.configs.version == 4, 3.0)
-        assert node.health.doubted_at > float("-inf")
+        assert node.health.relisted_at > float("-inf")
 
     async def test_nodes_renew_their_watches_at_different_times(self, world):
         await world.start("registry")
         health = world.nodes[0].health
-        waits = {health.random.uniform(*watching.WAIT) for _ in range(20)}
+        waits = {health.random.uniform(*watching.WATCH_WAIT) for _ in range(20)}
         assert len(waits) == 20
 
-    async def test_a_node_without_the_store_asks_another_node(self, world):
+    async def test_node_without_the_store_reads_from_a_peer(self, world):
         await world.start("workshop", "registry")
         world.nodes[0].store.base = "http://127.0.0.1:1/"
         world.store.faults.deaf = True
         await world.configure(4, *mesh_world.DEFAULT_ROUTES)
         other = world.nodes[1]
-        other.configs.take(await other.store.get(configs.KIND, configs.NAME))
+        other.configs.apply(await other.store.get(configs.KIND, configs.NAME))
         await world.call("/lookup/1")
         await world.wait(lambda: world.nodes[0].configs.version == 4, 2.0)
 
-    async def test_a_node_that_starts_without_the_store_asks_who_calls_it(self, world):
+    async def test_node_that_starts_without_the_store_reads_from_its_callers(
+        self, world
+    ):
         await world.start("workshop", "registry")
         world.store.faults.down = True
         fresh = nodes.Node(world.nodes[1].config)
@@ -163,9 +168,7 @@
     @pytest.mark.parametrize(
         "data", [None, b"", b"\xff", compression.compress(b"odd")[:-2]]
     )
-    async def test_an_unreadable_answer_of_another_node_changes_nothing(
-        self, world, data
-    ):
+    async def test_unreadable_answer_of_a_peer_is_ignored(self, world, data):
         await world.start("registry")
         configs = world.nodes[0].configs
         before = configs.current
@@ -174,12 +177,13 @@
             return data
 
         configs.fetch = fetch
-        configs.informant = "127.0.0.1:1"
-        await configs.read_informant()
+        configs.peer_address = "127.0.0.1:1"
+        await configs.read_from_peer()
         assert configs.current is before
 
-    async def test_a_large_one_is_small_between_nodes(self, world):
-        """24 nodes that the store turned away fetched 123 kB each over one link."""
+    async def test_large_configuration_is_compressed_between_nodes(self, world):
+        """Guards against slow transfers: 24 nodes that the store refused fetched
+        123 kB each from one node, over its single link."""
         await world.start("registry")
         paths = [
             mesh_world.route(f"r-{number}", f"/p{number}/", "registry")
@@ -190,9 +194,9 @@
         await world.wait(lambda: configs.version == 2)
         assert len(configs.content) > 100_000
         assert len(configs.packed()) < 0.15 * len(configs.content)
-        assert configs.unpack(configs.packed()) == configs.content
+        assert configs.decompress(configs.packed()) == configs.content
 
-    async def test_forgotten_history_is_listed_again(self, world):
+    async def test_dropped_history_is_listed_again(self, world):
         await world.start("registry")
         world.store.forget()
         await world.configure(6, *mesh_world.DEFAULT_ROUTES)
@@ -200,7 +204,7 @@
 
 
 class TestRecords:
-    async def test_a_lost_answer_is_read_back(self, world):
+    async def test_lost_answer_is_read_back(self, world):
         await world.start("registry", "workshop")
         world.store.faults.lost = True
         await world.upstreams[0].drain()
@@ -210,14 +214,14 @@
             lambda: len(world.nodes[1].directory.candidates_of("registry")) == 0, 3.0
         )
 
-    async def test_a_record_that_was_removed_comes_back(self, world):
+    async def test_removed_record_is_written_again(self, world):
         await world.start("registry", "workshop")
         known = world.store.objects[records.KIND, "node-0"]
         await world.store.write(records.KIND, "node-0", 0, known, deleted=True)
         await world.wait(lambda: (records.KIND, "node-0") in world.store.objects)
         await world.wait_for_endpoints()
 
-    async def test_a_foreign_record_names_no_endpoint(self, world):
+    async def test_invalid_record_adds_no_endpoint(self, world):
         await world.start("registry", "workshop")
         for index, data in enumerate((b"null", b"[1]", b'{"hop":5}', b'"x"')):
             await world.store.put(records.KIND, f"foreign-{index}", data)
@@ -226,8 +230,8 @@
         assert len(world.nodes[1].directory.candidates_of("registry")) == 1
         assert (await world.call("/lookup/1", node=1))[0] == 200
 
-    async def test_a_host_that_got_the_address_of_another_one(self, world):
-        """The host that is gone left its record; the address has a new node."""
+    async def test_host_with_the_address_of_a_removed_one(self, world):
+        """The removed host left its record, and a new node has its address."""
         await world.start("workshop", "registry")
         node = world.nodes[1]
         stale = records.Record(
@@ -243,10 +247,10 @@
                 [item.node for item in found.candidates_of("workshop")] == ["node-0"]
             )
         )
-        node.health.doubt("test")
+        node.health.relist("test")
         await world.wait(lambda: (records.KIND, "gone") not in world.store.objects)
 
-    async def test_a_stopped_node_is_left_at_once(self, world):
+    async def test_stopping_node_gets_no_more_requests(self, world):
         await world.start("workshop", "registry", "registry")
         stopping = asyncio.create_task(world.nodes[1].stop())
         await world.wait(
@@ -260,8 +264,8 @@
     async def test_versions_in_quick_succession_are_not_all_fetched(
         self, world, monkeypatch
     ):
-        """The configuration is large and links are slow."""
-        monkeypatch.setattr(watching, "STORM_SETTLE", 0.2)
+        """Guards against overloaded links: configurations are large, links slow."""
+        monkeypatch.setattr(watching, "STORM_LIST_INTERVAL", 0.2)
         await world.start("registry")
         stored = world.store.objects[configs.KIND, configs.NAME]
         size = len(msgspec.json.encode(stored))
