--- a/rattanridge/cli/demo.py
+++ b/rattanridge/cli/demo.py
@@ -238,7 +238,7 @@
     ) -> None:
         """Send one call; check that the answer belongs to it, and count the result."""
         self.stats.calls += 1
-        sent_headers = {upstreams.KEY: key} if method == "POST" else {}
+        sent_headers = {upstreams.IDEMPOTENCY_KEY: key} if method == "POST" else {}
         async with session.request(
             method, f"{url}/{service}/{key}", headers=sent_headers
         ) as response:
--- a/rattanridge/cli/standin.py
+++ b/rattanridge/cli/standin.py
@@ -43,7 +43,7 @@
     PUT /faults replaces its faults.
     """
     log.configure()
-    store = metadata.Metadata()
+    store = metadata.MetadataStore()
     store.faults = parse_faults(faults, metadata.Faults)
 
     async def start() -> None:
@@ -96,14 +96,14 @@
     log.configure()
     shape = upstreams.Shape(service, version, slots, work, cold_start)
     instance = upstreams.Upstream(shape, node, seed, journal)
-    instance.told_address = tell
+    instance.reported_address = tell
     instance.faults = parse_faults(faults, upstreams.Faults)
 
     async def start() -> None:
         await instance.start(address)
         click.echo(f"upstream {service} {version} on {instance.address}")
 
-    asyncio.run(run_until_signal(start, instance.leave, instance.crashed))
+    asyncio.run(run_until_signal(start, instance.drain_and_stop, instance.crashed))
     sys.exit(CRASH_EXIT if instance.crashed.is_set() else 0)
 
 
--- a/rattanridge/measure/claims.py
+++ b/rattanridge/measure/claims.py
@@ -39,7 +39,7 @@
         plain = [await send(session, url, {}) for _ in range(calls)]
         before = mesh.store.calls
         keyed = [
-            await send(session, url, {upstreams.KEY: f"k{number}"})
+            await send(session, url, {upstreams.IDEMPOTENCY_KEY: f"k{number}"})
             for number in range(calls)
         ]
         # The node writes the outcome of a claim after it has answered the request.
--- a/rattanridge/measure/control.py
+++ b/rattanridge/measure/control.py
@@ -74,7 +74,7 @@
     node = next(iter(mesh.hosts.values())).node
     operations = preset_store.Presets(node.store)
     longest = 0.0
-    calls, sent, cpu = mesh.store.calls, mesh.store.sent, time.process_time()
+    calls, sent, cpu = mesh.store.calls, mesh.store.sent_bytes, time.process_time()
     for number in range(CHANGES):
         preset = fleet.make_preset("day", list(SERVICES), 2.0 + number)
         await operations.put("day", fleet.preset_text(preset), "olga")
@@ -84,6 +84,6 @@
     return {
         "in_force_s": longest,
         "calls_per_change": (mesh.store.calls - calls) / size / CHANGES,
-        "bytes_per_change": (mesh.store.sent - sent) / size / CHANGES,
+        "bytes_per_change": (mesh.store.sent_bytes - sent) / size / CHANGES,
         "cpu_ms_per_change": (time.process_time() - cpu) / size / CHANGES * 1000,
     }
--- a/rattanridge/measure/processes.py
+++ b/rattanridge/measure/processes.py
@@ -44,11 +44,11 @@
     """
 
     services: list[str]
-    server: metadata.Metadata | None = None
+    server: metadata.MetadataStore | None = None
 
     async def start(self) -> str:
         """Start the stand-in and put the preset in force; return its address."""
-        self.server = metadata.Metadata()
+        self.server = metadata.MetadataStore()
         await self.server.start()
         store = stores.Store(self.server.address)
         operations = preset_store.Presets(store)
@@ -218,7 +218,7 @@
     name: str, store: str, service: str, zone: str = "zone-a", **more: object
 ) -> settings.Settings:
     """Return the settings of a node; ``more`` sets further fields."""
-    addresses = [next(fleet.ADDRESSES) for _ in range(6)]
+    addresses = [next(fleet.FREE_ADDRESSES) for _ in range(6)]
     return settings.Settings(
         name=name,
         zone=zone,
--- a/rattanridge/mesh/configs.py
+++ b/rattanridge/mesh/configs.py
@@ -72,7 +72,7 @@
         state = State(self.version, self.refused, self.health.up.is_set())
         return msgspec.json.encode(state)
 
-    def packed(self) -> bytes:
+    def compressed(self) -> bytes:
         """Return the configuration in effect, compressed, for other nodes.
 
         All nodes that cannot reach the store may fetch it from this node at the same
--- a/rattanridge/mesh/connections.py
+++ b/rattanridge/mesh/connections.py
@@ -25,7 +25,7 @@
 IDLE_MARGIN = 1.0  # seconds before the peer's idle limit at which a connection closes
 DEFAULT_IDLE_LIMIT = 8.0  # seconds that an idle connection is kept
 CHECK_AFTER_IDLE = 0.02  # seconds idle after which a connection is checked before use
-UNACKED_TIMEOUT = 1500  # milliseconds that sent bytes may stay unacknowledged
+UNACKED_TIMEOUT_MS = 1500  # milliseconds that sent bytes may stay unacknowledged
 CONNECTION_REFUSED = ConnectionRefusedError.__name__  # failure detail: nobody listens
 
 ResponseMatcher = collections.abc.Callable[["Response"], bool]
@@ -313,7 +313,9 @@
         except (TimeoutError, OSError, ValueError) as error:
             raise codes.Failure(codes.CONNECT_FAILED, type(error).__name__)
         opened = transport.get_extra_info("socket")
-        opened.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT)
+        opened.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS
+        )
         return connection
 
     def release(self, address: str, connection: Connection, response: Response) -> None:
--- a/rattanridge/mesh/handlers.py
+++ b/rattanridge/mesh/handlers.py
@@ -87,7 +87,7 @@
                 body=self.directory.encode_records(), content_type=JSON
             )
         if request.path == configurations.PATH:
-            return aiohttp.web.Response(body=self.configs.packed())
+            return aiohttp.web.Response(body=self.configs.compressed())
         if request.path == configurations.STATE_PATH:
             return aiohttp.web.Response(body=self.configs.state(), content_type=JSON)
         page, _, version = request.path.rpartition("/")
--- a/rattanridge/mesh/membership.py
+++ b/rattanridge/mesh/membership.py
@@ -48,7 +48,7 @@
         self.directory = directories.Directory(suspects, log)
         self.publisher = publishers.Publisher(config.name, store, health, log)
         span = config.repeats.budget_settings().span()
-        self.sharers = budget_nodes.BudgetNodes(config.name, span)
+        self.budget_nodes = budget_nodes.BudgetNodes(config.name, span)
         self.removals: set[asyncio.Task] = set()
         self.has_records = False
         self.stopping = False
@@ -76,7 +76,9 @@
     def apply_all(self, items: list[stores.StoredObject]) -> None:
         """Apply a complete list of the records."""
         self.directory.apply_all(items)
-        self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
+        self.budget_nodes.apply_names(
+            self.directory.records, clock.seconds_since_boot()
+        )
         self.has_records = True
         for item in items:
             self.remove_predecessor(item)
@@ -94,23 +96,25 @@
     def apply(self, item: stores.StoredObject) -> None:
         """Apply one changed or deleted record."""
         self.directory.apply(item)
-        self.sharers.apply_names(self.directory.records, clock.seconds_since_boot())
+        self.budget_nodes.apply_names(
+            self.directory.records, clock.seconds_since_boot()
+        )
         self.publisher.apply(item)
 
     def reload(self) -> None:
         """Apply changed settings."""
-        self.sharers.set_span(self.config.repeats.budget_settings().span())
+        self.budget_nodes.set_span(self.config.repeats.budget_settings().span())
 
     def record_store_answer(self) -> None:
         """Record that the store has just answered the watch of the records."""
-        self.sharers.record_contact(clock.seconds_since_boot())
+        self.budget_nodes.record_contact(clock.seconds_since_boot())
 
     def count_budget_nodes(self) -> int:
         """Return the number of nodes that share the fixed part of the retry budget.
 
         0 means that this node has no share of it at present.
         """
-        return self.sharers.count(clock.seconds_since_boot())
+        return self.budget_nodes.count(clock.seconds_since_boot())
 
     def remove_predecessor(self, item: stores.StoredObject) -> None:
         """Start to remove the record of a node that had this node's address before."""
--- a/rattanridge/platform/configs.py
+++ b/rattanridge/platform/configs.py
@@ -153,13 +153,9 @@
     """Raise if a route has an invalid field or names a service that is not defined."""
     where = f"route {item.name}"
     if item.kind not in KINDS:
-        raise codes.Failure(codes.BAD_FIELD, f"unknown kind {item.kind!r}", where=where)
+        raise codes.Failure(codes.BAD_FIELD, f"kind {item.kind!r}", where=where)
     if not (item.prefix.startswith("/") and item.prefix.endswith("/")):
-        raise codes.Failure(
-            codes.BAD_FIELD,
-            f"prefix {item.prefix!r} does not begin and end with a slash",
-            where=where,
-        )
+        raise codes.Failure(codes.BAD_FIELD, f"prefix {item.prefix!r}", where=where)
     if item.timeout_ms <= 0 or item.target_ms < 0:
         raise codes.Failure(codes.BAD_FIELD, "times below zero", where=where)
     if any(share.weight < 0 for share in shares):
--- a/rattanridge/soak/__init__.py
+++ b/rattanridge/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: real processes on one machine, faults from outside, promises checked."""
+"""Fault soak: runs real processes on one machine under faults and checks promises."""
--- a/rattanridge/soak/callers.py
+++ b/rattanridge/soak/callers.py
@@ -1,5 +1,8 @@
-"""Callers of a soak: they keep connections until the process at the other end is
-gone, and note what they were told."""
+"""Callers of a soak.
+
+They keep their connections until the process at the other end is gone, and record
+the answer to each request.
+"""
 
 import asyncio
 import dataclasses
@@ -9,26 +12,31 @@
 import aiohttp
 
 from rattanridge.platform import headers
-from rattanridge.soak import parts
+from rattanridge.soak import processes
 from rattanridge.standin import upstream as upstreams
-from rattanridge.web import headers as own_headers
+from rattanridge.web import headers as web_headers
 
 DEADLINE_MS = 1500
-LIMIT = 4.0  # seconds after which an answer counts as never coming
-PACE = 0.03  # seconds between requests of one caller
-SENDINGS = 3  # of one request with a key
+ANSWER_TIMEOUT = 4.0  # seconds after which a request counts as never answered
+REQUEST_INTERVAL = 0.03  # seconds between requests of one caller
+MAX_ATTEMPTS = 3  # of one request with an idempotency key
 
 
 @dataclasses.dataclass(slots=True)
-class Sent:
-    """One sending of a request.
+class Attempt:
+    """One attempt to send a request, and its result.
 
+    :param id: attempt id.
     :param key: idempotency key; empty if it has none.
-    :param ran: what the answer said; empty if there was none.
-    :param cut: how the connection ended, if it did.
+    :param host: name of the host to which it was sent.
+    :param at: when it was sent, in seconds of the event loop's clock.
+    :param status: HTTP status of the answer; 0 if there was none.
+    :param ran: whether the request ran according to the answer; empty if unknown.
+    :param code: code that a node gave in its answer; empty if there was none.
+    :param error: class name of the exception that ended it; empty if it was answered.
     """
 
-    attempt: str
+    id: str
     method: str
     path: str
     key: str
@@ -38,70 +46,73 @@
     ran: str = ""
     code: str = ""
     body: bytes = b""
-    cut: str = ""
+    error: str = ""
 
 
 class Callers:
     """Sends requests of all kinds through all hosts.
 
-    :param count: callers at once.
+    :param count: number of concurrent callers.
     """
 
-    def __init__(self, world: parts.World, rng: random.Random, count: int = 8):
-        self.world = world
+    def __init__(self, cluster: processes.Cluster, rng: random.Random, count: int = 8):
+        self.cluster = cluster
         self.random = rng
         self.count = count
-        self.sent: list[Sent] = []
+        self.attempts: list[Attempt] = []
         self.numbers = itertools.count(1)
-        self.ending = False
+        self.stopping = False
 
     async def run(self) -> None:
-        """Send until told to end."""
-        await asyncio.gather(*(self.call_on() for _ in range(self.count)))
+        """Send requests until ``stopping`` is set."""
+        await asyncio.gather(*(self.run_caller() for _ in range(self.count)))
 
-    async def call_on(self) -> None:
-        """Be one caller: a connection to each host, kept."""
+    async def run_caller(self) -> None:
+        """Run one caller, which keeps its connections to the hosts open."""
         async with aiohttp.ClientSession() as session:
-            while not self.ending:
-                await self.send_one(session)
-                await asyncio.sleep(PACE)
+            while not self.stopping:
+                await self.send_request(session)
+                await asyncio.sleep(REQUEST_INTERVAL)
+
+    async def send_request(self, session: aiohttp.ClientSession) -> None:
+        """Send one random request.
 
-    async def send_one(self, session: aiohttp.ClientSession) -> None:
-        """Send one request; one with a key several times through any hosts."""
-        service = self.random.choice(parts.SERVICES)
+        One with an idempotency key may be sent several times, through random hosts.
+        """
+        service = self.random.choice(processes.SERVICES)
         number = next(self.numbers)
         kind = self.random.random()
         if kind < 0.5:
-            await self.send(session, "GET", f"/{service}/read-{number}")
+            await self.send_attempt(session, "GET", f"/{service}/read-{number}")
         elif kind < 0.8:
-            await self.send(session, "POST", f"/{service}/once-{number}")
+            await self.send_attempt(session, "POST", f"/{service}/once-{number}")
         else:
-            for _ in range(self.random.randint(1, SENDINGS)):
+            for _ in range(self.random.randint(1, MAX_ATTEMPTS)):
                 path = f"/{service}/keyed-{number}"
-                await self.send(session, "POST", path, f"key-{number}")
+                await self.send_attempt(session, "POST", path, f"key-{number}")
 
-    async def send(
+    async def send_attempt(
         self, session: aiohttp.ClientSession, method: str, path: str, key: str = ""
-    ) -> Sent:
-        """Send a request once and note what became of it."""
-        host = self.random.choice(self.world.hosts)
+    ) -> Attempt:
+        """Send a request once through a random host and record the result."""
+        host = self.random.choice(self.cluster.hosts)
         loop = asyncio.get_running_loop()
         attempt = f"{next(self.numbers):08x}"
-        sent = Sent(attempt, method, path, key, host.name, loop.time())
-        self.sent.append(sent)
-        marks = {headers.ATTEMPT: attempt, headers.DEADLINE: str(DEADLINE_MS)}
+        result = Attempt(attempt, method, path, key, host.name, loop.time())
+        self.attempts.append(result)
+        request_headers = {headers.ATTEMPT: attempt, headers.DEADLINE: str(DEADLINE_MS)}
         if key:
-            marks[upstreams.KEY] = key
+            request_headers[upstreams.IDEMPOTENCY_KEY] = key
         url = f"http://{host.listen['callers']}{path}"
-        limit = aiohttp.ClientTimeout(total=LIMIT)
+        timeout = aiohttp.ClientTimeout(total=ANSWER_TIMEOUT)
         try:
             async with session.request(
-                method, url, headers=marks, timeout=limit
+                method, url, headers=request_headers, timeout=timeout
             ) as response:
-                sent.body = await response.read()
-                sent.status = response.status
-                sent.ran = response.headers.get(own_headers.RAN, "")
-                sent.code = response.headers.get(own_headers.CODE, "")
+                result.body = await response.read()
+                result.status = response.status
+                result.ran = response.headers.get(web_headers.RAN, "")
+                result.code = response.headers.get(web_headers.CODE, "")
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            sent.cut = type(error).__name__
-        return sent
+            result.error = type(error).__name__
+        return result
--- a/rattanridge/soak/faults.py
+++ b/rattanridge/soak/faults.py
@@ -1,4 +1,7 @@
-"""What goes wrong in a soak: plug-ins, each with its begin and its end."""
+"""Faults that a soak injects, as plug-ins, and the player of a schedule of them.
+
+Each plug-in injects one fault and returns once it is removed again.
+"""
 
 import asyncio
 import collections.abc
@@ -6,7 +9,7 @@
 import signal
 
 from rattanridge.kernel import registry
-from rattanridge.soak import parts, proxy, schedule
+from rattanridge.soak import processes, proxy, schedule
 
 STORE_FAULTS = (
     ("down", True),
@@ -18,96 +21,105 @@
 )
 
 Fault = collections.abc.Callable[
-    [parts.World, parts.Host, schedule.Planned], collections.abc.Awaitable[None]
+    [processes.Cluster, processes.Host, schedule.PlannedFault],
+    collections.abc.Awaitable[None],
 ]
 FAULTS: registry.Registry[Fault] = registry.Registry("fault")
 
 
-async def kill_part(part: parts.Part, planned: schedule.Planned) -> None:
-    """Kill a process and start it again after a while."""
-    await part.kill()
-    await asyncio.sleep(planned.lasts)
-    await part.start()
+async def kill_and_restart(
+    process: processes.ManagedProcess, planned: schedule.PlannedFault
+) -> None:
+    """Kill a process and start it again after the duration of the fault."""
+    await process.kill()
+    await asyncio.sleep(planned.duration)
+    await process.start()
 
 
-async def pause_part(part: parts.Part, planned: schedule.Planned) -> None:
-    """Let a process stand still for a while."""
-    part.signal(signal.SIGSTOP)
-    await asyncio.sleep(planned.lasts)
-    part.signal(signal.SIGCONT)
+async def pause_process(
+    process: processes.ManagedProcess, planned: schedule.PlannedFault
+) -> None:
+    """Suspend a process for the duration of the fault."""
+    process.signal(signal.SIGSTOP)
+    await asyncio.sleep(planned.duration)
+    process.signal(signal.SIGCONT)
 
 
 @FAULTS.register("node-kill")
 async def kill_node(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Kill a node; it comes back."""
-    await kill_part(host.node, planned)
+    """Kill a node and restart it."""
+    await kill_and_restart(host.node, planned)
 
 
 @FAULTS.register("node-stop")
 async def stop_node(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Stop a node as planned; it comes back."""
+    """Stop a node gracefully and restart it."""
     await host.node.terminate()
     await host.node.start()
 
 
 @FAULTS.register("node-pause")
 async def pause_node(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Let a node stand still."""
-    await pause_part(host.node, planned)
+    """Suspend a node."""
+    await pause_process(host.node, planned)
 
 
 @FAULTS.register("node-reload")
 async def reload_node(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Let a node read its settings again, once it has started."""
-    # Before its handlers are set, the signal would end the process.
-    await world.wait(lambda: world.state(host))
+    """Make a node reload its settings, once it has started."""
+    # SIGHUP ends a process that has not installed its signal handlers yet.
+    await cluster.wait(lambda: cluster.fetch_state(host))
     host.node.signal(signal.SIGHUP)
 
 
 @FAULTS.register("upstream-kill")
 async def kill_upstream(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Kill an upstream; another incarnation comes."""
-    await kill_part(host.upstream, planned)
+    """Kill an upstream and start a new incarnation of it."""
+    await kill_and_restart(host.upstream, planned)
 
 
 @FAULTS.register("upstream-drain")
 async def drain_upstream(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Let an upstream leave as planned; another one comes in its place."""
+    """Drain and stop an upstream, then start another one in its place."""
     await host.upstream.terminate()
-    await asyncio.sleep(planned.lasts)
+    await asyncio.sleep(planned.duration)
     await host.upstream.start()
 
 
 @FAULTS.register("upstream-pause")
 async def pause_upstream(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Let an upstream stand still."""
-    await pause_part(host.upstream, planned)
+    """Suspend an upstream."""
+    await pause_process(host.upstream, planned)
 
 
 @FAULTS.register("link-faults")
-async def spoil_link(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+async def disturb_link(
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Delay, reset, cut one way or silence the way to the store or the upstream."""
+    """Disturb the connections of a node to the store or to its upstream.
+
+    The bytes are delayed, or dropped in one or both directions, or the connections are
+    reset.
+    """
     modes = [
-        proxy.Mode(delay=planned.lasts / 10),
-        proxy.Mode(mute_up=True),
-        proxy.Mode(mute_down=True),
-        proxy.Mode(mute_up=True, mute_down=True),
+        proxy.Mode(delay=planned.duration / 10),
+        proxy.Mode(drop_to_target=True),
+        proxy.Mode(drop_from_target=True),
+        proxy.Mode(drop_to_target=True, drop_from_target=True),
         proxy.Mode(refuse=True),
     ]
     links = [host.store_link, host.upstream_link]
@@ -115,68 +127,74 @@
     link.mode = mode
     if mode.refuse:
         link.reset()
-    await asyncio.sleep(planned.lasts)
+    await asyncio.sleep(planned.duration)
     link.mode = proxy.Mode()
-    # Bytes were lost on the connections that were muted.
+    # Connections that stayed open may have lost bytes.
     link.reset()
 
 
 @FAULTS.register(schedule.STORE)
-async def spoil_store(
-    world: parts.World, host: parts.Host, planned: schedule.Planned
+async def set_store_fault(
+    cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Let the store misbehave for all nodes."""
+    """Set a fault of the store, which affects all nodes."""
     name, value = planned.choose(STORE_FAULTS)
-    await world.set_store_faults(**{name: value})
-    await asyncio.sleep(planned.lasts)
-    await world.set_store_faults()
+    await cluster.set_store_faults(**{name: value})
+    await asyncio.sleep(planned.duration)
+    await cluster.set_store_faults()
 
 
 @dataclasses.dataclass(slots=True)
 class Window:
-    """One fault from its begin to its end, in seconds of the loop's clock.
+    """The time during which one fault was in force.
 
-    :param key: host that it hits, or ``store``.
+    :param target: name of the host that it affected, or ``store``.
+    :param started_at: seconds of the event loop's clock, as is ``ended_at``.
     """
 
     name: str
-    key: str
-    began: float
-    ended: float = float("inf")
+    target: str
+    started_at: float
+    ended_at: float = float("inf")
+
 
+class FaultInjector:
+    """Injects the faults of a schedule.
 
-class Trouble:
-    """Plays a schedule; what can't be done at its time is noted and skipped."""
+    A fault whose target is still affected by another one is recorded and skipped.
+    """
 
-    def __init__(self, world: parts.World, faults: list[schedule.Planned]):
-        self.world = world
+    def __init__(self, cluster: processes.Cluster, faults: list[schedule.PlannedFault]):
+        self.cluster = cluster
         self.faults = faults
         self.running: dict[str, asyncio.Task] = {}
         self.windows: list[Window] = []
-        self.skipped: list[schedule.Planned] = []
+        self.skipped: list[schedule.PlannedFault] = []
 
     async def run(self) -> None:
-        """Begin each fault at its time, then wait until all have ended."""
+        """Start each fault at its time, then wait until all have ended."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        start = loop.time()
         for planned in self.faults:
-            await asyncio.sleep(began + planned.at - loop.time())
-            if planned.key() in self.running:
+            await asyncio.sleep(start + planned.at - loop.time())
+            if planned.target() in self.running:
                 self.skipped.append(planned)
             else:
-                self.begin(planned)
+                self.start_fault(planned)
         await asyncio.gather(*self.running.values())
 
-    def begin(self, planned: schedule.Planned) -> None:
-        """Begin one fault."""
-        window = Window(planned.name, planned.key(), asyncio.get_running_loop().time())
+    def start_fault(self, planned: schedule.PlannedFault) -> None:
+        """Start one fault and record its window."""
+        window = Window(
+            planned.name, planned.target(), asyncio.get_running_loop().time()
+        )
         self.windows.append(window)
-        host = self.world.hosts[planned.host]
-        work = FAULTS.get(planned.name)(self.world, host, planned)
-        task = self.running[window.key] = asyncio.create_task(work)
-        task.add_done_callback(lambda done: self.end(window))
-
-    def end(self, window: Window) -> None:
-        """A fault has ended."""
-        window.ended = asyncio.get_running_loop().time()
-        self.running.pop(window.key, None)
+        host = self.cluster.hosts[planned.host]
+        work = FAULTS.get(planned.name)(self.cluster, host, planned)
+        task = self.running[window.target] = asyncio.create_task(work)
+        task.add_done_callback(lambda done: self.end_fault(window))
+
+    def end_fault(self, window: Window) -> None:
+        """Record that a fault has ended."""
+        window.ended_at = asyncio.get_running_loop().time()
+        self.running.pop(window.target, None)
--- a/rattanridge/soak/parts.py
+++ b/rattanridge/soak/processes.py
@@ -16,18 +16,19 @@
 from rattanridge.standin import fleet
 
 START_LIMIT = 20.0  # seconds
-STOP_LIMIT = 12.0  # seconds from SIGTERM
-GRACE = 6.0  # seconds of a node
-STEP = 0.05  # seconds between looks
+STOP_LIMIT = 12.0  # seconds from SIGTERM until a process is killed
+GRACE = 6.0  # seconds of grace that a node has when it drains
+POLL_INTERVAL = 0.05  # seconds
 SERVICES = ("registry", "workshop", "payments")
 ZONES = ("zone-a", "zone-b")
 
 
-class Part:
-    """One process, started again and again.
+class ManagedProcess:
+    """One process that can be started repeatedly.
 
-    :param name: of its log file.
-    :param arguments: of the command ``rattanridge``.
+    :param name: name of its log file, without suffix.
+    :param directory: directory of its log file.
+    :param arguments: arguments of the command ``rattanridge``.
     """
 
     def __init__(self, name: str, directory: pathlib.Path, arguments: list[str]):
@@ -35,33 +36,33 @@
         self.directory = directory
         self.arguments = arguments
         self.process: asyncio.subprocess.Process | None = None
-        self.lives = 0
+        self.start_count = 0
 
     async def start(self) -> None:
-        """Start the process."""
-        self.lives += 1
+        """Start the process; its output is appended to the log file."""
+        self.start_count += 1
         with (self.directory / f"{self.name}.log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "rattanridge", *self.arguments,
                 stdout=log, stderr=log,
             )  # fmt: skip
 
-    def running(self) -> bool:
-        """Whether the process lives."""
+    def is_running(self) -> bool:
+        """Whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it lives."""
-        if self.running():
+        """Send a signal to the process, if it is running."""
+        if self.is_running():
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait until it has ended."""
         self.signal(signal.SIGKILL)
         await self.process.wait()
 
     async def terminate(self) -> int:
-        """Ask the process to end; return its exit status, -9 if it had to be killed."""
+        """Send SIGTERM; return the exit status, -9 if the process had to be killed."""
         self.signal(signal.SIGTERM)
         try:
             async with asyncio.timeout(STOP_LIMIT):
@@ -73,34 +74,36 @@
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """A node with the upstream beside it, and the proxies on its ways.
+    """A node, its local upstream, and the proxies on the connections of the node.
 
-    :param store_link: between the node and the store.
-    :param upstream_link: between the node and the upstream.
+    :param listen: addresses of the ports of the node, by name.
+    :param store_link: proxy between the node and the store.
+    :param upstream_link: proxy between the node and the upstream.
+    :param journal: file in which the upstream records its runs.
     """
 
     name: str
     service: str
     listen: dict[str, str]
-    node: Part
-    upstream: Part
+    node: ManagedProcess
+    upstream: ManagedProcess
     store_link: proxies.Proxy
     upstream_link: proxies.Proxy
     journal: pathlib.Path
 
 
-class World:
+class Cluster:
     """All processes of one soak.
 
-    :param directory: for settings, logs and journals.
-    :param size: hosts.
+    :param directory: directory for settings, logs and journals.
+    :param size: number of hosts.
     """
 
     def __init__(self, directory: pathlib.Path, size: int):
         self.directory = directory
         self.size = size
-        self.store_address = next(fleet.ADDRESSES)
-        self.store = Part(
+        self.store_address = next(fleet.FREE_ADDRESSES)
+        self.store = ManagedProcess(
             "store",
             directory,
             ["standin", "platform", "--address", self.store_address],
@@ -109,26 +112,29 @@
         self.session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Start the store and all hosts."""
+        """Start the store and all hosts.
+
+        Raise ``TimeoutError`` if one of them does not answer.
+        """
         self.session = aiohttp.ClientSession()
         await self.store.start()
-        await self.wait(self.store_answers)
+        await self.wait(self.reset_store_faults)
         for index in range(self.size):
-            self.hosts.append(await self.add(index))
+            self.hosts.append(await self.add_host(index))
         for host in self.hosts:
-            await self.wait(lambda host=host: self.state(host))
+            await self.wait(lambda host=host: self.fetch_state(host))
 
-    async def add(self, index: int) -> Host:
-        """Start one host."""
+    async def add_host(self, index: int) -> Host:
+        """Start the processes and the proxies of one host."""
         name = f"host-{index}"
         service = SERVICES[index % len(SERVICES)]
-        upstream_address = next(fleet.ADDRESSES)
+        upstream_address = next(fleet.FREE_ADDRESSES)
         store_link = proxies.Proxy(self.store_address)
         upstream_link = proxies.Proxy(upstream_address)
         await store_link.start()
         await upstream_link.start()
         ports = ("callers", "hops", "ready", "heartbeats")
-        listen = {port: next(fleet.ADDRESSES) for port in ports}
+        listen = {port: next(fleet.FREE_ADDRESSES) for port in ports}
         settings = {
             "name": name,
             "zone": ZONES[index % len(ZONES)],
@@ -141,8 +147,8 @@
         path = self.directory / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
         journal = self.directory / f"{name}.journal"
-        node = Part(f"{name}-node", self.directory, ["node", "-c", str(path)])
-        upstream = Part(
+        node = ManagedProcess(f"{name}-node", self.directory, ["node", "-c", str(path)])
+        upstream = ManagedProcess(
             f"{name}-upstream",
             self.directory,
             [
@@ -158,29 +164,32 @@
         )
 
     async def stop(self) -> None:
-        """End all processes of this soak, and nothing else."""
+        """Kill the processes that this soak started, and no others."""
         for host in self.hosts:
-            for part in (host.upstream, host.node):
-                if part.running():
-                    await part.kill()
+            for process in (host.upstream, host.node):
+                if process.is_running():
+                    await process.kill()
             await host.store_link.stop()
             await host.upstream_link.stop()
-        if self.store.running():
+        if self.store.is_running():
             await self.store.kill()
         await self.session.close()
 
     async def wait(self, condition, seconds: float = START_LIMIT) -> None:
-        """Wait until an awaitable condition holds."""
+        """Wait until a condition holds; raise ``TimeoutError`` after ``seconds``.
+
+        :param condition: called without arguments; its result is awaited.
+        """
         async with asyncio.timeout(seconds):
             while not await condition():
-                await asyncio.sleep(STEP)
+                await asyncio.sleep(POLL_INTERVAL)
 
-    async def store_answers(self) -> bool:
-        """Whether the store takes calls."""
+    async def reset_store_faults(self) -> bool:
+        """Clear the faults of the store; return whether it answered."""
         return await self.set_store_faults() is not None
 
     async def set_store_faults(self, **faults: object) -> dict | None:
-        """Set what the store does wrong; None if it does not answer."""
+        """Replace the faults of the store; return them, None if there is no answer."""
         url = f"http://{self.store_address}/faults"
         try:
             async with self.session.put(url, data=json.dumps(faults)) as response:
@@ -188,12 +197,12 @@
         except (aiohttp.ClientError, OSError):
             return None
 
-    async def state(self, host: Host) -> configs.State | None:
-        """Return what a node has in force; None if it does not answer."""
+    async def fetch_state(self, host: Host) -> configs.State | None:
+        """Return the configuration state of a node; None if it does not answer."""
         url = f"http://{host.listen['hops']}{configs.STATE_PATH}"
-        limit = aiohttp.ClientTimeout(total=1.0)
+        timeout = aiohttp.ClientTimeout(total=1.0)
         try:
-            async with self.session.get(url, timeout=limit) as response:
+            async with self.session.get(url, timeout=timeout) as response:
                 return msgspec.json.decode(await response.read(), type=configs.State)
         except (TimeoutError, aiohttp.ClientError, OSError, msgspec.MsgspecError):
             return None
--- a/rattanridge/soak/promises.py
+++ b/rattanridge/soak/promises.py
@@ -1,4 +1,7 @@
-"""The promises of our pages, checked from what callers and upstreams saw."""
+"""Checks of the documented promises against the records of callers and upstreams.
+
+Each check returns one text per violation.
+"""
 
 import asyncio
 import collections
@@ -7,23 +10,27 @@
 
 import aiohttp
 
-from rattanridge.soak import callers, faults, parts
+from rattanridge.soak import callers, faults, processes
 
-LOOK_INTERVAL = 0.25  # seconds between looks at the nodes
+POLL_INTERVAL = 0.25  # seconds between polls of the nodes
 DRAIN_BOUND = 2.0  # seconds after an acknowledged farewell without new requests
-ROUNDING = 0.1  # seconds
+TIME_TOLERANCE = 0.1  # seconds, for the times in journals
 PLANNED_STOP = "node-stop"
-HITS_NODES = ("node-kill", "node-stop", "node-pause", "node-reload")
+NODE_FAULTS = ("node-kill", "node-stop", "node-pause", "node-reload")
 NO_CONNECTION = aiohttp.ClientConnectorError.__name__
-SETTLING = 1.0  # seconds after a fault of a node
-TAKEN_BEFORE = 1.4  # seconds before a planned stop: requests of then may still run
-TAKEN_AFTER = 0.5  # seconds after it in which requests are still taken
+RECOVERY = 1.0  # seconds that a node needs after a fault
+# Seconds before a planned stop: requests sent since then may still run at the stop.
+ACCEPTED_BEFORE = 1.4
+ACCEPTED_AFTER = 0.5  # seconds in which a stopping node still accepts requests
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """A request that an upstream began to run.
+    """A request that an upstream began to run, as its journal records it.
 
+    :param endpoint: id of the upstream.
+    :param attempt: attempt id of the request.
+    :param key: idempotency key; empty if it has none.
     :param at: seconds since the epoch.
     """
 
@@ -33,37 +40,41 @@
     at: float
 
 
-class Watcher:
-    """Looks at the nodes while the soak runs."""
+class GenerationMonitor:
+    """Polls the generation that each node applies while the soak runs."""
 
-    def __init__(self, world: parts.World):
-        self.world = world
+    def __init__(self, cluster: processes.Cluster):
+        self.cluster = cluster
         self.broken: list[str] = []
         self.versions: dict[tuple[str, int], int] = {}
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Poll all nodes until cancelled."""
         while True:
-            await asyncio.gather(*(self.look(host) for host in self.world.hosts))
-            await asyncio.sleep(LOOK_INTERVAL)
-
-    async def look(self, host: parts.Host) -> None:
-        """Check that a node's generation never falls in one life of its process."""
-        life = host.node.lives
-        state = await self.world.state(host)
-        if state is None or host.node.lives != life:
+            await asyncio.gather(
+                *(self.check_host(host) for host in self.cluster.hosts)
+            )
+            await asyncio.sleep(POLL_INTERVAL)
+
+    async def check_host(self, host: processes.Host) -> None:
+        """Check that the generation of a node has not decreased since its start."""
+        start_count = host.node.start_count
+        state = await self.cluster.fetch_state(host)
+        if state is None or host.node.start_count != start_count:
             return
-        known = self.versions.get((host.name, life), 0)
+        known = self.versions.get((host.name, start_count), 0)
         if state.version < known:
-            self.broken.append(f"{host.name} fell from {known} to {state.version}")
-        self.versions[host.name, life] = state.version
+            self.broken.append(
+                f"the generation of {host.name} fell from {known} to {state.version}"
+            )
+        self.versions[host.name, start_count] = state.version
 
 
-def read_journals(world: parts.World) -> tuple[list[Run], dict[str, float]]:
-    """Return all runs, and by endpoint the time of its acknowledged farewell."""
+def read_journals(cluster: processes.Cluster) -> tuple[list[Run], dict[str, float]]:
+    """Return all runs, and the time of the acknowledged farewell of each endpoint."""
     runs: list[Run] = []
     farewells: dict[str, float] = {}
-    for host in world.hosts:
+    for host in cluster.hosts:
         if not host.journal.exists():
             continue
         for line in host.journal.read_text().splitlines():
@@ -76,94 +87,105 @@
     return runs, farewells
 
 
-def check(
-    world: parts.World, sent: list[callers.Sent], windows: list[faults.Window]
+def check_all(
+    cluster: processes.Cluster,
+    attempts: list[callers.Attempt],
+    windows: list[faults.Window],
 ) -> list[str]:
-    """Return what was broken."""
-    runs, farewells = read_journals(world)
+    """Return the violations of all promises but that of ``GenerationMonitor``."""
+    runs, farewells = read_journals(cluster)
     return [
-        *check_once(runs, sent),
-        *check_refusals(runs, sent),
-        *check_answers(sent),
-        *check_leaving(runs, farewells),
-        *check_planned_stops(sent, windows),
-        *check_timely(sent, windows),
+        *check_at_most_once(runs, attempts),
+        *check_not_run(runs, attempts),
+        *check_answers(attempts),
+        *check_drained(runs, farewells),
+        *check_planned_stops(attempts, windows),
+        *check_answered(attempts, windows),
     ]
 
 
-def check_once(runs: list[Run], sent: list[callers.Sent]) -> list[str]:
-    """Work that must not repeat runs at most once: each sending, and each key."""
-    unsafe = {item.attempt for item in sent if item.method == "POST"}
-    attempts = collections.Counter(run.attempt for run in runs)
+def check_at_most_once(runs: list[Run], attempts: list[callers.Attempt]) -> list[str]:
+    """Check that each unsafe attempt and each idempotency key ran at most once."""
+    unsafe = {item.id for item in attempts if item.method == "POST"}
+    run_counts = collections.Counter(run.attempt for run in runs)
     keys = collections.Counter(run.key for run in runs if run.key)
     return [
-        *(f"{key} ran {count} times" for key, count in keys.items() if count > 1),
+        *(
+            f"idempotency key {key} ran {count} times"
+            for key, count in keys.items()
+            if count > 1
+        ),
         *(
             f"sending {attempt} ran {count} times"
-            for attempt, count in attempts.items()
+            for attempt, count in run_counts.items()
             if count > 1 and attempt in unsafe
         ),
     ]
 
 
-def check_refusals(runs: list[Run], sent: list[callers.Sent]) -> list[str]:
-    """What is told not to have run has not, and never will."""
+def check_not_run(runs: list[Run], attempts: list[callers.Attempt]) -> list[str]:
+    """Check that no attempt ran whose answer said that it did not run."""
     ran = {run.attempt for run in runs}
     return [
-        f"sending {item.attempt} was told not-run ({item.code}) and ran"
-        for item in sent
-        if item.ran == "not-run" and item.attempt in ran
+        f"sending {item.id} was told not-run ({item.code}) and ran"
+        for item in attempts
+        if item.ran == "not-run" and item.id in ran
     ]
 
 
-def check_answers(sent: list[callers.Sent]) -> list[str]:
-    """A success is whole and the request's own."""
+def check_answers(attempts: list[callers.Attempt]) -> list[str]:
+    """Check that each successful answer is complete and belongs to its request."""
     return [
-        f"sending {item.attempt} of {item.path} got {item.body[:80]!r}"
-        for item in sent
+        f"sending {item.id} of {item.path} got the wrong answer {item.body[:80]!r}"
+        for item in attempts
         if item.status == 200 and f" {item.path} {item.key}".encode() not in item.body
     ]
 
 
-def check_leaving(runs: list[Run], farewells: dict[str, float]) -> list[str]:
-    """A leaving upstream gets nothing new soon after its farewell was heard."""
+def check_drained(runs: list[Run], farewells: dict[str, float]) -> list[str]:
+    """Check that an upstream runs nothing new ``DRAIN_BOUND`` after its farewell."""
     return [
-        f"{run.endpoint} left and ran {run.attempt} {run.at - farewells[run.endpoint]}"
+        f"endpoint {run.endpoint} left and ran sending {run.attempt} "
+        f"{run.at - farewells[run.endpoint]} s after its farewell was acknowledged"
         for run in runs
         if run.endpoint in farewells
-        and run.at > farewells[run.endpoint] + DRAIN_BOUND + ROUNDING
+        and run.at > farewells[run.endpoint] + DRAIN_BOUND + TIME_TOLERANCE
     ]
 
 
 def check_planned_stops(
-    sent: list[callers.Sent], windows: list[faults.Window]
+    attempts: list[callers.Attempt], windows: list[faults.Window]
 ) -> list[str]:
-    """A node that is stopped as planned answers what it has taken.
+    """Check that a node that is stopped as planned answers the requests it accepted.
 
-    It has taken nothing from a caller that got no connection.
+    It accepted nothing from a caller that could not connect.
     """
     stops = [item for item in windows if item.name == PLANNED_STOP]
     return [
-        f"sending {item.attempt} was cut ({item.cut}) by the stop of {item.host}"
-        for item in sent
+        f"sending {item.id} was cut ({item.error}) by the stop of {item.host}"
+        for item in attempts
         for stop in stops
-        if item.cut not in ("", NO_CONNECTION)
-        and item.host == stop.key
-        and stop.began - TAKEN_BEFORE < item.at < stop.began + TAKEN_AFTER
+        if item.error not in ("", NO_CONNECTION)
+        and item.host == stop.target
+        and stop.started_at - ACCEPTED_BEFORE
+        < item.at
+        < stop.started_at + ACCEPTED_AFTER
     ]
 
 
-def check_timely(sent: list[callers.Sent], windows: list[faults.Window]) -> list[str]:
-    """A node that no fault hits answers long after the deadline at the latest."""
+def check_answered(
+    attempts: list[callers.Attempt], windows: list[faults.Window]
+) -> list[str]:
+    """Check that a node without a fault answers within ``callers.ANSWER_TIMEOUT``."""
     return [
-        f"sending {item.attempt} {item.path} got no answer of {item.host}"
-        for item in sent
-        if item.cut == TimeoutError.__name__
+        f"sending {item.id} of {item.path} got no answer from {item.host}"
+        for item in attempts
+        if item.error == TimeoutError.__name__
         and not any(
-            hit.name in HITS_NODES
-            and hit.key == item.host
-            and hit.began < item.at + callers.LIMIT
-            and item.at < hit.ended + SETTLING
-            for hit in windows
+            window.name in NODE_FAULTS
+            and window.target == item.host
+            and window.started_at < item.at + callers.ANSWER_TIMEOUT
+            and item.at < window.ended_at + RECOVERY
+            for window in windows
         )
     ]
--- a/rattanridge/soak/proxy.py
+++ b/rattanridge/soak/proxy.py
@@ -1,31 +1,31 @@
-"""A loopback proxy that spoils the connections which go through it."""
+"""A loopback TCP proxy that injects faults into the connections it forwards."""
 
 import asyncio
 import dataclasses
 
-CHUNK = 65_536  # bytes read at once
+CHUNK_BYTES = 65_536  # read at once
 
 
 @dataclasses.dataclass(slots=True)
 class Mode:
-    """What is done to the bytes now.
+    """Faults in force; all off by default.
 
-    :param delay: seconds before each piece is passed on.
-    :param mute_up: nothing goes to the target any more.
-    :param mute_down: nothing comes back from it.
+    :param delay: seconds before each chunk is forwarded.
+    :param drop_to_target: bytes to the target are dropped.
+    :param drop_from_target: bytes from the target are dropped.
     :param refuse: new connections are reset.
     """
 
     delay: float = 0.0
-    mute_up: bool = False
-    mute_down: bool = False
+    drop_to_target: bool = False
+    drop_from_target: bool = False
     refuse: bool = False
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
-    :param target: ``host:port``.
+    :param target: the address, as ``host:port``.
     """
 
     def __init__(self, target: str):
@@ -33,65 +33,75 @@
         self.mode = Mode()
         self.address = ""
         self.server: asyncio.Server | None = None
-        self.open: set[asyncio.StreamWriter] = set()
-        self.pumps: set[asyncio.Task] = set()
+        self.writers: set[asyncio.StreamWriter] = set()
+        self.tasks: set[asyncio.Task] = set()
 
     async def start(self) -> None:
-        """Listen on a free loopback port."""
+        """Listen on a free loopback port; ``address`` tells which."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     async def stop(self) -> None:
-        """End everything at once."""
+        """Stop listening and reset all connections."""
         self.server.close()
         self.reset()
-        for task in self.pumps:
+        for task in self.tasks:
             task.cancel()
 
     def reset(self) -> None:
-        """Break all connections off."""
-        for writer in list(self.open):
+        """Reset all open connections."""
+        for writer in list(self.writers):
             writer.transport.abort()
 
     async def serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Pass one connection on until either side ends it."""
+        """Forward one connection until either side closes it."""
         host, _, port = self.target.rpartition(":")
         if self.mode.refuse:
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(
+                host, int(port)
+            )
         except OSError:
             writer.transport.abort()
             return
-        self.open |= {writer, far_writer}
-        both = [
-            asyncio.create_task(self.pump(reader, far_writer, up=True)),
-            asyncio.create_task(self.pump(far_reader, writer, up=False)),
+        self.writers |= {writer, target_writer}
+        tasks = [
+            asyncio.create_task(self.forward(reader, target_writer, to_target=True)),
+            asyncio.create_task(self.forward(target_reader, writer, to_target=False)),
         ]
-        self.pumps.update(both)
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-        for task in both:
+        self.tasks.update(tasks)
+        await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+        for task in tasks:
             task.cancel()
-            self.pumps.discard(task)
-        for end in (writer, far_writer):
-            end.close()
-            self.open.discard(end)
+            self.tasks.discard(task)
+        for closing in (writer, target_writer):
+            closing.close()
+            self.writers.discard(closing)
 
-    async def pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, up: bool
+    async def forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        to_target: bool,
     ) -> None:
-        """Pass the bytes of one direction on, as the mode says."""
+        """Forward the bytes of one direction, subject to the faults in force."""
         try:
-            while data := await reader.read(CHUNK):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.mode.delay:
                     await asyncio.sleep(self.mode.delay)
-                if self.mode.mute_up if up else self.mode.mute_down:
+                if (
+                    self.mode.drop_to_target
+                    if to_target
+                    else self.mode.drop_from_target
+                ):
                     continue
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # The other side is gone; the connection ends with this pump.
+            # The other side has closed. serve() closes the connection when this task
+            # ends.
             return
--- a/rattanridge/soak/schedule.py
+++ b/rattanridge/soak/schedule.py
@@ -1,62 +1,67 @@
-"""What goes wrong when and where in a soak; follows from the seed alone."""
+"""Schedule of the faults of a soak, which depends on the seed alone."""
 
 import dataclasses
 import random
 
-GAP = (0.1, 1.2)  # seconds between the begins of two faults
-LASTS = (0.3, 3.0)  # seconds
-REPAIR = 1.5  # seconds that what was hit needs afterwards
-MOST = 3  # faults at once
-STORE = "store-faults"  # hits the store, and no host
+GAP = (0.1, 1.2)  # seconds between the starts of two faults
+DURATION = (0.3, 3.0)  # seconds of one fault
+RECOVERY = 1.5  # seconds that a target needs after a fault
+MAX_CONCURRENT = 3  # faults, with their recovery
+STORE = "store-faults"  # the only fault whose target is the store, not a host
 
 
 @dataclasses.dataclass(slots=True, frozen=True)
-class Planned:
-    """One fault.
-
-    :param at: seconds from the start of the trouble.
-    :param name: of the fault.
-    :param host: number of the host that it hits.
-    :param lasts: seconds.
-    :param variant: from 0 to 1; picks among the fault's forms.
+class PlannedFault:
+    """One fault of a schedule.
+
+    :param at: seconds from the start of the schedule.
+    :param name: name under which the fault is registered.
+    :param host: index of the host that it affects; ignored by ``store-faults``.
+    :param duration: seconds.
+    :param variant: from 0 to 1; selects one of the variants of the fault.
     """
 
     at: float
     name: str
     host: int
-    lasts: float
+    duration: float
     variant: float
 
-    def key(self) -> str:
-        """Return what it hits; two faults never hit the same at once."""
+    def target(self) -> str:
+        """Return what the fault affects; no two faults affect one target at once."""
         return "store" if self.name == STORE else f"host-{self.host}"
 
-    def until(self) -> float:
-        """Return when what it hits is expected to be whole again."""
-        return self.at + self.lasts + REPAIR
+    def recovered_at(self) -> float:
+        """Return when the target is expected to work again, on the clock of ``at``."""
+        return self.at + self.duration + RECOVERY
 
     def choose(self, items: list) -> object:
-        """Return one of some items."""
+        """Return the item that the variant selects."""
         return items[int(self.variant * len(items))]
 
 
-def plan(seed: int, seconds: float, hosts: int, names: list[str]) -> list[Planned]:
+def plan(seed: int, seconds: float, hosts: int, names: list[str]) -> list[PlannedFault]:
     """Return the faults of a soak, in order of time.
 
-    :param names: of the faults to choose from.
+    The same arguments always give the same faults. A fault is left out if its target
+    is still affected by another one, or if too many faults overlap.
+
+    :param seconds: within which the faults start.
+    :param hosts: number of hosts.
+    :param names: names of the faults to choose from; their order matters.
     """
     rng = random.Random(seed)
-    found: list[Planned] = []
+    planned: list[PlannedFault] = []
     now = 0.0
     while (now := now + rng.uniform(*GAP)) < seconds:
-        fault = Planned(
+        fault = PlannedFault(
             now,
             rng.choice(names),
             rng.randrange(hosts),
-            rng.uniform(*LASTS),
+            rng.uniform(*DURATION),
             rng.random(),
         )
-        busy = {item.key() for item in found if item.until() > now}
-        if len(busy) < MOST and fault.key() not in busy:
-            found.append(fault)
-    return found
+        busy = {item.target() for item in planned if item.recovered_at() > now}
+        if len(busy) < MAX_CONCURRENT and fault.target() not in busy:
+            planned.append(fault)
+    return planned
--- a/rattanridge/soak/soak.py
+++ b/rattanridge/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: start, make trouble under load, heal, check."""
+"""One soak: starts a cluster, injects faults under load, and checks the promises."""
 
 import asyncio
 import dataclasses
@@ -11,24 +11,26 @@
 from rattanridge.admin import presets as preset_store
 from rattanridge.kernel import codes, log, presets
 from rattanridge.platform import store as stores
-from rattanridge.soak import callers, faults, parts, promises, schedule
+from rattanridge.soak import callers, faults, processes, promises, schedule
 from rattanridge.standin import fleet
 
 HOSTS = 6
-IN_FORCE = 4.0  # seconds from an accepted choice until it is in force everywhere
-HEAL = 4.0  # seconds after the last fault until everything must work again
-CHANGE_INTERVAL = 2.0  # seconds between two choices of a preset
+IN_FORCE_LIMIT = 4.0  # seconds from an accepted choice until all nodes apply it
+RECOVERY = 4.0  # seconds after the last fault until everything must work again
+CHANGE_INTERVAL = 2.0  # seconds between two changes of the preset
 FINAL_CALLS = 60
-FINAL_SHARE = 0.95  # of the calls after the healing that must be answered
+FINAL_SHARE = 0.95  # of the final calls that must be answered 200
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What a soak found.
+    """Result of a soak.
 
-    :param faults: names and targets, in order.
-    :param skipped: planned faults whose target was still hit by another one.
-    :param broken: promises that did not hold.
+    :param calls: attempts to send a request.
+    :param answered: attempts that were answered 200.
+    :param faults: names and targets of the faults, in order.
+    :param skipped: planned faults whose target was still affected by another one.
+    :param broken: one text for each promise that did not hold.
     """
 
     seed: int
@@ -40,124 +42,131 @@
 
 
 class Soak:
-    """Runs one seed.
+    """Runs the soak of one seed.
 
-    :param directory: for settings, logs and journals; kept if something broke.
+    :param seconds: for which faults are injected.
+    :param directory: directory for settings, logs and journals.
     """
 
     def __init__(self, seed: int, seconds: float, directory: pathlib.Path):
-        self.world = parts.World(directory, HOSTS)
-        self.callers = callers.Callers(self.world, random.Random(seed))
+        self.cluster = processes.Cluster(directory, HOSTS)
+        self.callers = callers.Callers(self.cluster, random.Random(seed))
         planned = schedule.plan(seed, seconds, HOSTS, faults.FAULTS.names())
-        self.trouble = faults.Trouble(self.world, planned)
-        self.watcher = promises.Watcher(self.world)
+        self.injector = faults.FaultInjector(self.cluster, planned)
+        self.monitor = promises.GenerationMonitor(self.cluster)
         self.outcome = Outcome(seed)
         self.generation = 0
         self.log = log.Log("soak")
 
     async def run(self) -> Outcome:
-        """Run everything; the outcome tells what did not hold."""
+        """Run the soak and return its outcome, also if the processes do not start."""
         try:
-            if not await self.begin():
+            if not await self.start():
                 return self.outcome
-            watching = asyncio.create_task(self.watcher.run())
-            calling = asyncio.create_task(self.callers.run())
-            changing = asyncio.create_task(self.change())
-            await self.trouble.run()
-            changing.cancel()
-            await asyncio.gather(changing, return_exceptions=True)
-            await self.heal()
-            self.callers.ending = True
-            await calling
+            monitor_task = asyncio.create_task(self.monitor.run())
+            callers_task = asyncio.create_task(self.callers.run())
+            change_task = asyncio.create_task(self.change_presets())
+            await self.injector.run()
+            change_task.cancel()
+            await asyncio.gather(change_task, return_exceptions=True)
+            await self.check_recovery()
+            self.callers.stopping = True
+            await callers_task
             await self.check_service()
-            watching.cancel()
+            monitor_task.cancel()
         finally:
-            await self.world.stop()
-        self.sum_up()
+            await self.cluster.stop()
+        self.complete_outcome()
         return self.outcome
 
-    async def begin(self) -> bool:
-        """Start all processes with a preset in force; return whether that went well."""
+    async def start(self) -> bool:
+        """Start all processes and put a preset in force; return whether that worked."""
         try:
-            await self.world.start()
-            await self.choose()
-            await self.settle()
+            await self.cluster.start()
+            await self.apply_preset()
+            await self.wait_in_force()
         except TimeoutError:
-            self.outcome.broken.append(f"not started after {parts.START_LIMIT} s")
+            self.outcome.broken.append(
+                f"the processes did not start within {processes.START_LIMIT} s"
+            )
             return False
         return True
 
-    async def choose(self) -> None:
-        """Put another preset in force, as an operator at the store does."""
+    async def apply_preset(self) -> None:
+        """Store another preset and put it in force, as an operator does."""
         preset = fleet.make_preset(
-            "day", list(parts.SERVICES), 2.0 + self.generation / 100
+            "day", list(processes.SERVICES), 2.0 + self.generation / 100
         )
-        # Work without a key must not be sent on either.
-        for service in parts.SERVICES:
+        # Requests without an idempotency key must not be retried either.
+        for service in processes.SERVICES:
             preset.routes.append(
                 presets.Route(prefix=f"/{service}/once", service=service)
             )
-        reached = stores.Store(self.world.store_address)
-        operations = preset_store.Presets(reached)
+        store = stores.Store(self.cluster.store_address)
+        operations = preset_store.Presets(store)
         try:
             await operations.put("day", fleet.preset_text(preset), "olga")
             self.generation = (await operations.use("day", "olga")).generation
         finally:
-            await reached.close()
+            await store.close()
 
-    async def change(self) -> None:
-        """Choose presets while trouble is made; refusals are the store's faults."""
+    async def change_presets(self) -> None:
+        """Change the preset until cancelled; store faults may cause refusals."""
         while True:
             await asyncio.sleep(CHANGE_INTERVAL)
             try:
-                await self.choose()
+                await self.apply_preset()
             except codes.Failure as failure:
                 self.log.info("choice-refused", code=failure.code.number)
 
-    async def settle(self, seconds: float = parts.START_LIMIT) -> None:
-        """Wait until all nodes apply the newest choice."""
-        await self.world.wait(self.is_in_force, seconds)
+    async def wait_in_force(self, seconds: float = processes.START_LIMIT) -> None:
+        """Wait until all nodes apply the newest preset."""
+        await self.cluster.wait(self.is_in_force, seconds)
 
     async def is_in_force(self) -> bool:
-        """Whether all nodes apply the newest choice."""
-        states = await asyncio.gather(*(self.world.state(x) for x in self.world.hosts))
+        """Whether all nodes apply the newest preset."""
+        states = await asyncio.gather(
+            *(self.cluster.fetch_state(x) for x in self.cluster.hosts)
+        )
         return all(
             state is not None and state.version >= self.generation for state in states
         )
 
-    async def heal(self) -> None:
-        """End all faults, then see that a choice is in force everywhere in time."""
-        await self.world.set_store_faults()
-        await asyncio.sleep(HEAL)
-        await self.choose()
-        began = time.monotonic()
+    async def check_recovery(self) -> None:
+        """Clear the store faults, then check that a new preset is applied in time."""
+        await self.cluster.set_store_faults()
+        await asyncio.sleep(RECOVERY)
+        await self.apply_preset()
+        started_at = time.monotonic()
         try:
-            await self.settle(IN_FORCE)
+            await self.wait_in_force(IN_FORCE_LIMIT)
         except TimeoutError:
-            took = time.monotonic() - began
-            self.outcome.broken.append(f"not in force everywhere after {took:.1f} s")
+            took = time.monotonic() - started_at
+            self.outcome.broken.append(
+                f"a preset was not in force on all nodes after {took:.1f} s"
+            )
 
     async def check_service(self) -> None:
-        """See that nearly all requests are served again."""
-        before = len(self.callers.sent)
+        """Check that nearly all requests are served after the faults."""
+        before = len(self.callers.attempts)
         async with aiohttp.ClientSession() as session:
             for _ in range(FINAL_CALLS):
-                await self.callers.send_one(session)
-        found = self.callers.sent[before:]
+                await self.callers.send_request(session)
+        found = self.callers.attempts[before:]
         served = sum(item.status == 200 for item in found)
         if served < FINAL_SHARE * len(found):
-            told = {(item.status, item.code, item.cut) for item in found}
-            self.outcome.broken.append(f"served {served} of {len(found)}: {told}")
-
-    def sum_up(self) -> None:
-        """Check what all sides saw."""
-        sent = self.callers.sent
-        self.outcome.calls = len(sent)
-        self.outcome.answered = sum(item.status == 200 for item in sent)
-        windows = self.trouble.windows
-        self.outcome.faults = [f"{item.name} {item.key}" for item in windows]
+            answers = {(item.status, item.code, item.error) for item in found}
+            self.outcome.broken.append(f"served {served} of {len(found)}: {answers}")
+
+    def complete_outcome(self) -> None:
+        """Complete the outcome and check the promises."""
+        attempts = self.callers.attempts
+        self.outcome.calls = len(attempts)
+        self.outcome.answered = sum(item.status == 200 for item in attempts)
+        windows = self.injector.windows
+        self.outcome.faults = [f"{item.name} {item.target}" for item in windows]
         self.outcome.skipped = [
-            f"{item.name} {item.key()}" for item in self.trouble.skipped
+            f"{item.name} {item.target()}" for item in self.injector.skipped
         ]
-        self.outcome.broken += self.watcher.broken
-        self.outcome.broken += promises.check(self.world, sent, windows)
+        self.outcome.broken += self.monitor.broken
+        self.outcome.broken += promises.check_all(self.cluster, attempts, windows)
--- a/rattanridge/standin/faults.py
+++ b/rattanridge/standin/faults.py
@@ -1,4 +1,4 @@
-"""How the faults of a stand-in are read and set over HTTP."""
+"""HTTP interface that reads and sets the faults of a stand-in."""
 
 import typing
 
@@ -8,21 +8,25 @@
 T = typing.TypeVar("T", bound=msgspec.Struct)
 
 
-async def exchange(
+async def handle_faults(
     request: aiohttp.web.BaseRequest, current: T
 ) -> tuple[T, aiohttp.web.Response]:
-    """Return the faults in force and the answer; a PUT takes others over."""
+    """Return the faults in force and the response that lists them.
+
+    A PUT replaces the faults; a body that cannot be decoded is answered 400 and
+    changes nothing.
+    """
     if request.method != "PUT":
-        return current, tell(current)
+        return current, make_response(current)
     try:
-        fresh = msgspec.json.decode(await request.read(), type=type(current))
+        updated = msgspec.json.decode(await request.read(), type=type(current))
     except msgspec.MsgspecError as error:
         return current, aiohttp.web.Response(text=str(error), status=400)
-    return fresh, tell(fresh)
+    return updated, make_response(updated)
 
 
-def tell(current: msgspec.Struct) -> aiohttp.web.Response:
-    """Return the answer that tells the faults in force."""
+def make_response(current: msgspec.Struct) -> aiohttp.web.Response:
+    """Return a JSON response with the faults in force."""
     return aiohttp.web.Response(
         body=msgspec.json.encode(current), content_type="application/json"
     )
--- a/rattanridge/standin/fleet.py
+++ b/rattanridge/standin/fleet.py
@@ -1,4 +1,4 @@
-"""A small mesh on loopback in one process: store, nodes and upstreams."""
+"""A small mesh on loopback in one process: a store, nodes and upstreams."""
 
 import asyncio
 import collections.abc
@@ -16,22 +16,25 @@
 
 LOOPBACK = "127.0.0.1"
 READY_LIMIT = 20.0  # seconds
-STEP = 0.01  # seconds between looks
+POLL_INTERVAL = 0.01  # seconds
 TOKENS = [
     fields.Token(name="olga", secret="olga-secret-token", role="operator"),
     fields.Token(name="victor", secret="victor-secret-token", role="viewer"),
 ]
-# Each process takes ports of its own, below those that systems give out.
+# Each process reserves its own block of ports. The blocks lie below the range from
+# which operating systems assign ephemeral ports.
 FIRST_PORT = 15_000
 PORTS_PER_PROCESS = 800
-PROCESSES_MOST = 20
+MAX_PROCESSES = 20
 
 
-def claim_ports() -> tuple[socket.socket, range]:
-    """Return ports that no other process here takes, and the socket that guards them
-    for as long as it is open."""
-    for place in range(PROCESSES_MOST):
-        first = FIRST_PORT + place * PORTS_PER_PROCESS
+def reserve_ports() -> tuple[socket.socket, range]:
+    """Reserve a block of ports that no other stand-in process on this machine uses.
+
+    Return the ports and the socket that reserves them for as long as it is open.
+    """
+    for block in range(MAX_PROCESSES):
+        first = FIRST_PORT + block * PORTS_PER_PROCESS
         guard = socket.socket()
         try:
             guard.bind((LOOPBACK, first))
@@ -39,12 +42,15 @@
             guard.close()
             continue
         return guard, range(first + 1, first + PORTS_PER_PROCESS)
-    raise codes.Failure(codes.CANNOT_LISTEN, "all ports for stand-ins are taken")
+    raise codes.Failure(
+        codes.CANNOT_LISTEN,
+        "all port blocks for stand-ins are in use by other processes",
+    )
 
 
 def free_addresses() -> collections.abc.Iterator[str]:
-    """Yield addresses at which nothing listens just now."""
-    guard, ports = claim_ports()
+    """Yield loopback addresses at which nothing listens at the moment."""
+    guard, ports = reserve_ports()
     with guard:
         for port in itertools.cycle(ports):
             with socket.socket() as probe:
@@ -55,26 +61,26 @@
             yield f"{LOOPBACK}:{port}"
 
 
-ADDRESSES = free_addresses()
+FREE_ADDRESSES = free_addresses()
 
 
 @dataclasses.dataclass(slots=True)
 class Host:
-    """One host: a node with the upstream beside it."""
+    """One host: a node and its local upstream."""
 
     node: nodes.Node
     upstream: upstreams.Upstream
 
 
 class Fleet:
-    """Starts and stops hosts around one stand-in of the store.
+    """Starts and stops hosts that share one stand-in of the store.
 
-    :param seed: seed of the upstreams.
+    :param seed: seed of the upstreams; each adds the number of hosts before it.
     """
 
     def __init__(self, seed: int = 1):
         self.seed = seed
-        self.store = metadata.Metadata()
+        self.store = metadata.MetadataStore()
         self.hosts: dict[str, Host] = {}
 
     async def __aenter__(self) -> "Fleet":
@@ -87,7 +93,7 @@
     def settings_for(
         self, name: str, zone: str, service: str, upstream: str, **more: object
     ) -> settings.Settings:
-        """Return a node's settings; ``more`` sets further fields."""
+        """Return the settings of a node; ``more`` sets further fields."""
         given = {"tokens": TOKENS} | more
         return settings.Settings(
             name=name,
@@ -95,7 +101,7 @@
             service=service,
             upstream=upstream,
             store=self.store.address,
-            listen=settings.Listen(*(next(ADDRESSES) for _ in range(6))),
+            listen=settings.Listen(*(next(FREE_ADDRESSES) for _ in range(6))),
             **given,
         )
 
@@ -107,22 +113,22 @@
         renew: bool = True,
         **more: object,
     ) -> Host:
-        """Start an upstream and the node beside it.
+        """Start an upstream and its node.
 
-        :param renew: whether heartbeats go on after the first one.
+        :param renew: whether the upstream repeats its heartbeat after the first one.
         """
         seed = self.seed + len(self.hosts)
         upstream = upstreams.Upstream(shape, seed=seed)
-        await upstream.listen(next(ADDRESSES))
+        await upstream.listen(next(FREE_ADDRESSES))
         config = self.settings_for(name, zone, shape.service, upstream.address, **more)
         node = nodes.Node(config)
         await node.start()
         host = self.hosts[name] = Host(node, upstream)
-        await upstream.report_to(config.listen.heartbeats, renew)
+        await upstream.start_heartbeats(config.listen.heartbeats, renew)
         return host
 
     async def put_preset(self, preset: presets.Preset, operator: str = "olga") -> int:
-        """Store a preset and put it in force; return the generation."""
+        """Store a preset and put it in force; return its generation."""
         node = next(iter(self.hosts.values())).node
         operations = preset_store.Presets(node.store)
         await operations.put(preset.name, preset_text(preset), operator)
@@ -132,18 +138,18 @@
     async def wait_applied(
         self, generation: int, seconds: float = READY_LIMIT
     ) -> float:
-        """Wait until every node applies a generation; return the seconds taken."""
-        began = time.monotonic()
+        """Wait until every node has applied a generation; return the seconds taken."""
+        started_at = time.monotonic()
         await self.wait(
             lambda: all(
                 host.node.configs.version >= generation for host in self.hosts.values()
             ),
             seconds,
         )
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     async def wait_endpoints(self, seconds: float = READY_LIMIT) -> None:
-        """Wait until every node knows every endpoint."""
+        """Wait until every node lists every endpoint as a candidate."""
         await self.wait(
             lambda: all(
                 self.hosts.keys() <= host.node.directory.candidates.keys()
@@ -157,38 +163,43 @@
         condition: collections.abc.Callable[[], bool],
         seconds: float = READY_LIMIT,
     ) -> None:
-        """Wait until a condition holds; ``TimeoutError`` if it does not."""
+        """Wait until a condition holds; raise ``TimeoutError`` after ``seconds``."""
         async with asyncio.timeout(seconds):
             while not condition():
-                await asyncio.sleep(STEP)
+                await asyncio.sleep(POLL_INTERVAL)
 
     async def remove(self, name: str, graceful: bool = False) -> None:
-        """Stop one host: gracefully, or at once as a failure would."""
+        """Stop one host: gracefully, or abruptly as in a failure."""
         host = self.hosts.pop(name)
         if graceful:
-            await host.upstream.leave()
+            await host.upstream.drain_and_stop()
             await host.node.stop()
             return
         await host.node.close()
         await host.upstream.stop()
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all hosts abruptly, then the store."""
         await asyncio.gather(*(self.remove(name) for name in list(self.hosts)))
         await self.store.stop()
 
 
 def preset_text(preset: presets.Preset) -> str:
-    """Return a preset as YAML text (JSON is YAML)."""
+    """Return a preset as YAML text; JSON is a subset of YAML."""
     return msgspec.json.encode(preset).decode()
 
 
 def make_preset(name: str, services: list[str], timeout: float = 5.0) -> presets.Preset:
-    """Return a preset with a reading and a working route for each service."""
+    """Return a preset with two routes for each service.
+
+    GET requests are idempotent; POST requests carry an idempotency key.
+
+    :param timeout: seconds, for all routes.
+    """
     found = []
     for service in services:
         common = {"prefix": f"/{service}", "service": service, "timeout": timeout}
-        key = routes.KeySource("header", upstreams.KEY)
+        key = routes.KeySource("header", upstreams.IDEMPOTENCY_KEY)
         found.append(presets.Route(methods=["GET"], idempotent=True, **common))
         found.append(presets.Route(methods=["POST"], key=key, **common))
     return presets.Preset(
--- a/rattanridge/standin/metadata.py
+++ b/rattanridge/standin/metadata.py
@@ -9,21 +9,21 @@
 from rattanridge.platform import store as stores
 from rattanridge.standin import faults
 
-HISTORY = 1000  # changes that a watch may go back
+MAX_HISTORY = 1000  # latest changes that a watch can still read
 PREFIX = "/api/objects/"
 FAULTS_PATH = "/faults"
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """What goes wrong now.
+    """Faults in force; all off by default.
 
-    :param down: every call is answered 503; nothing is done.
-    :param silent: calls are not answered at all.
-    :param lost: writes are done, and their connection is closed instead of an
+    :param down: every call is answered 503 and has no effect.
+    :param silent: no call is answered.
+    :param lost: writes take effect, but their connection is closed without an
         answer.
-    :param delay: seconds before each call is looked at.
-    :param deaf: watches are told nothing until their time is over.
-    :param mute: watches are not answered at all.
+    :param delay: seconds before each call is processed.
+    :param deaf: watches report no change before their waiting time is over.
+    :param mute: no watch is answered.
     """
 
     down: bool = False
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Event:
-    """One change."""
+    """One change of an object."""
 
     revision: int
     kind: str
@@ -44,8 +44,8 @@
     deleted: bool
 
 
-class Metadata:
-    """Serves objects by kind and name; counts calls, and bytes of answers."""
+class MetadataStore:
+    """Serves objects by kind and name, and counts calls and bytes of answers."""
 
     def __init__(self) -> None:
         self.revision = 1
@@ -54,27 +54,27 @@
         self.changed = asyncio.Condition()
         self.faults = Faults()
         self.calls = 0
-        self.sent = 0
+        self.sent_bytes = 0
         self.runner: aiohttp.web.ServerRunner | None = None
         self.address = ""
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Listen at ``host:port``; port 0 takes a free one."""
-        served = aiohttp.web.Server(self.serve)
-        self.runner = aiohttp.web.ServerRunner(served, shutdown_timeout=0.1)
+        """Listen at ``host:port``; port 0 selects a free port."""
+        server = aiohttp.web.Server(self.serve)
+        self.runner = aiohttp.web.ServerRunner(server, shutdown_timeout=0.1)
         await self.runner.setup()
         host, _, port = address.rpartition(":")
         await aiohttp.web.TCPSite(self.runner, host, int(port)).start()
         self.address = f"{host}:{self.runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """End."""
+        """Stop listening and close all connections."""
         await self.runner.cleanup()
 
     async def serve(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.Response:
-        """Answer one call, or fail it as the faults say."""
+        """Answer one call, subject to the faults in force."""
         if request.path == FAULTS_PATH:
-            self.faults, answer = await faults.exchange(request, self.faults)
+            self.faults, answer = await faults.handle_faults(request, self.faults)
             return answer
         self.calls += 1
         await asyncio.sleep(self.faults.delay)
@@ -85,7 +85,7 @@
         kind, _, rest = request.path.removeprefix(PREFIX).partition("/")
         name, _, part = rest.partition("/")
         response = await self.answer(request, kind, name, part)
-        self.sent += len(response.body or b"")
+        self.sent_bytes += len(response.body or b"")
         if self.faults.lost and request.method != "GET":
             request.transport.abort()
         return response
@@ -93,39 +93,44 @@
     async def answer(
         self, request: aiohttp.web.BaseRequest, kind: str, name: str, part: str
     ) -> aiohttp.web.Response:
-        """Do what a call asks."""
+        """Execute a call on the objects and return its response."""
         if request.method == "GET" and stores.WATCH in request.query:
             return await self.watch(request, kind)
         if request.method == "GET":
             return self.get(kind, name)
         if request.method == "DELETE":
-            known = self.objects.get((kind, name))
+            existing = self.objects.get((kind, name))
             revision = int(request.query.get(stores.REVISION, 0))
-            return await self.write(kind, name, revision, known, deleted=True)
+            return await self.write(kind, name, revision, existing, deleted=True)
         wire = msgspec.json.decode(await request.read(), type=stores.WireObject)
-        known = self.objects.get((kind, wire.metadata.name))
-        if request.method == "POST" and known is not None:
-            return self.reply(known, 409)
-        fresh = self.merge(known, wire, part)
+        existing = self.objects.get((kind, wire.metadata.name))
+        if request.method == "POST" and existing is not None:
+            return self.reply(existing, 409)
+        updated = self.merge(existing, wire, part)
         revision = wire.metadata.revision
-        return await self.write(kind, wire.metadata.name, revision, fresh)
+        return await self.write(kind, wire.metadata.name, revision, updated)
 
     def merge(
-        self, known: stores.WireObject | None, wire: stores.WireObject, part: str
+        self, existing: stores.WireObject | None, wire: stores.WireObject, part: str
     ) -> stores.WireObject:
-        """Return the object after a write of its spec or of its status."""
+        """Return the object after a write.
+
+        :param part: empty if the spec is written, else the status is.
+        """
         metadata = stores.WireMetadata(wire.metadata.name)
-        if known is None:
+        if existing is None:
             return stores.WireObject(metadata, wire.spec)
         if part:
-            return stores.WireObject(metadata, known.spec, wire.status)
-        return stores.WireObject(metadata, wire.spec, known.status)
+            return stores.WireObject(metadata, existing.spec, wire.status)
+        return stores.WireObject(metadata, wire.spec, existing.status)
 
     def get(self, kind: str, name: str) -> aiohttp.web.Response:
-        """Return one object, or all of a kind."""
+        """Return one object, or all objects of a kind if ``name`` is empty."""
         if name:
-            known = self.objects.get((kind, name))
-            return self.reply(known) if known else aiohttp.web.Response(status=404)
+            existing = self.objects.get((kind, name))
+            return (
+                self.reply(existing) if existing else aiohttp.web.Response(status=404)
+            )
         found = [item for key, item in sorted(self.objects.items()) if key[0] == kind]
         items = [msgspec.Raw(msgspec.json.encode(item)) for item in found]
         return self.reply(stores.WireListing(items, False, self.revision))
@@ -133,7 +138,11 @@
     async def watch(
         self, request: aiohttp.web.BaseRequest, kind: str
     ) -> aiohttp.web.Response:
-        """Return the changes after a revision as soon as there is one."""
+        """Return the changes after a revision as soon as there is one.
+
+        The list is empty if the waiting time passes without a change. The status is
+        410 if the history no longer reaches back to the revision.
+        """
         after = int(request.query[stores.WATCH])
         if self.events and after < self.events[0].revision - 1:
             return aiohttp.web.Response(status=410)
@@ -156,7 +165,7 @@
         return self.reply(stores.WireChanges(events, self.revision))
 
     def since(self, kind: str, after: int) -> list[Event]:
-        """Return the events of a kind after a revision."""
+        """Return the changes of a kind after a revision."""
         return [
             item for item in self.events if item.kind == kind and item.revision > after
         ]
@@ -166,43 +175,47 @@
         kind: str,
         name: str,
         revision: int,
-        fresh: stores.WireObject | None,
+        updated: stores.WireObject | None,
         deleted: bool = False,
     ) -> aiohttp.web.Response:
-        """Make one change, if its condition holds."""
-        known = self.objects.get((kind, name))
-        if known is None and (revision or deleted):
+        """Create, replace or delete an object.
+
+        :param revision: revision that the object must have, or the response is 409;
+            0 accepts any.
+        """
+        existing = self.objects.get((kind, name))
+        if existing is None and (revision or deleted):
             return aiohttp.web.Response(status=404)
-        if known is not None and revision not in (0, known.metadata.revision):
-            return self.reply(known, 409)
+        if existing is not None and revision not in (0, existing.metadata.revision):
+            return self.reply(existing, 409)
         async with self.changed:
             self.revision += 1
-            fresh.metadata.revision = self.revision
+            updated.metadata.revision = self.revision
             if deleted:
                 del self.objects[kind, name]
             else:
-                self.objects[kind, name] = fresh
-            self.events.append(Event(self.revision, kind, fresh, deleted))
-            del self.events[:-HISTORY]
+                self.objects[kind, name] = updated
+            self.events.append(Event(self.revision, kind, updated, deleted))
+            del self.events[:-MAX_HISTORY]
             self.changed.notify_all()
-        return self.reply(fresh)
+        return self.reply(updated)
 
     async def put(self, kind: str, name: str, spec: bytes) -> None:
-        """Write an object as an operator does, whatever it holds."""
+        """Write the spec of an object unconditionally and without checking it."""
         metadata = stores.WireMetadata(name)
-        known = self.objects.get((kind, name))
-        status = known.status if known is not None else msgspec.Raw(stores.NULL)
+        existing = self.objects.get((kind, name))
+        status = existing.status if existing is not None else msgspec.Raw(stores.NULL)
         await self.write(
             kind, name, 0, stores.WireObject(metadata, msgspec.Raw(spec), status)
         )
 
-    def forget(self) -> None:
-        """Forget the history: watches have to list again."""
+    def expire_history(self) -> None:
+        """Drop the history, so that watches have to list all objects again."""
         self.revision += 1
         self.events = [Event(self.revision, "", None, False)]
 
     def reply(self, body: object, status: int = 200) -> aiohttp.web.Response:
-        """Return an answer with a JSON body."""
+        """Return a response with a JSON body."""
         return aiohttp.web.Response(
             status=status,
             body=msgspec.json.encode(body),
--- a/rattanridge/standin/upstream.py
+++ b/rattanridge/standin/upstream.py
@@ -1,7 +1,7 @@
-"""HTTP stand-in of an upstream, with faults, that reports itself to its node.
+"""HTTP stand-in of an upstream, with faults, that sends heartbeats to its node.
 
-It counts every request that it begins to run, so that tests count work where
-it is done instead of believing the mesh.
+It records every request that it begins to run, so that tests count executions at
+the upstream and do not rely on what the mesh reports.
 """
 
 import asyncio
@@ -21,30 +21,30 @@
 from rattanridge.standin import faults
 
 RENEW_INTERVAL = 1.0  # seconds between heartbeats
-LEAVE_STEP = 0.02  # seconds between looks at the requests still running
-LEAVE_MOST = 30.0  # seconds that requests in progress get on a planned stop
-KEY = "Idempotency-Key"
-PROOF = "proof"
+DRAIN_POLL_INTERVAL = 0.02  # seconds
+MAX_DRAIN = 30.0  # seconds for requests in progress to finish on a planned stop
+IDEMPOTENCY_KEY = "Idempotency-Key"
+SIGNATURE_VALUE = "proof"
 WRONG_ENDPOINT = 421
-ACKNOWLEDGED = 200
+ACKNOWLEDGED = 200  # status by which the node accepts a heartbeat
 
 
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
     """Faults in force; all off by default.
 
     :param error_rate: fraction of requests answered 500.
-    :param slow: seconds added to each request.
-    :param crash_on: the upstream dies when a request's body or path holds this.
-    :param only_prefix: faults hit only paths with this prefix.
-    :param after: seconds after the start from which faults hit.
-    :param above: faults hit only above this number of requests at once.
-    :param shed: answer 503 with the header that says the work did not run.
-    :param lose: run the request and close the connection instead of an answer.
-    :param cut: the answer's body ends halfway.
-    :param unproved: the answer lacks its proof.
-    :param stray: another request's answer comes before the right one.
-    :param silent: take the request and never answer.
-    :param deaf: neither a caller that went away nor a deadline ends the work.
+    :param slow: seconds added to the processing time of each request.
+    :param crash_on: crash on a request whose body or path contains this text.
+    :param only_prefix: the faults affect only paths with this prefix.
+    :param after: seconds after the start from which the faults take effect.
+    :param above: the faults affect requests that meet this many others in progress.
+    :param shed: answer 503 with the header that says that the request did not run.
+    :param lose: run the request and close the connection without an answer.
+    :param cut: end the answer before its body is complete.
+    :param unproved: leave the signature out of the answer.
+    :param stray: send the answer to another request before the right one.
+    :param silent: start the request and never finish it.
+    :param deaf: work on after the caller has disconnected or the deadline passed.
     """
 
     error_rate: float = 0.0
@@ -76,19 +76,19 @@
 
     @property
     def key(self) -> str:
-        """Return its idempotency key; empty if it has none."""
-        return self.headers.get(KEY, "")
+        """The idempotency key of the request; empty if it has none."""
+        return self.headers.get(IDEMPOTENCY_KEY, "")
 
 
 @dataclasses.dataclass(slots=True)
 class Shape:
-    """What an upstream is.
+    """Properties of an upstream stand-in.
 
-    :param service: the service's name.
-    :param version: the version's name.
-    :param slots: requests that run at once.
-    :param work: mean seconds of work for one request.
-    :param cold_start: seconds after a start in which work takes twice as long.
+    :param service: name of its service.
+    :param version: name of its version.
+    :param slots: requests that it can run at the same time.
+    :param work: mean processing time of a request in seconds.
+    :param cold_start: seconds after a start in which ``work`` is added once more.
     """
 
     service: str
@@ -101,18 +101,17 @@
 class Upstream:
     """One upstream stand-in.
 
-    :param shape: what it is.
-    :param node: ``host:port`` for the heartbeats; empty: none are sent.
-    :param seed: seed of work times and errors.
-    :param journal: file to which each run is written as it begins, so that it is
-        known after a kill; empty: none.
+    :param node: ``host:port`` to which heartbeats are sent; empty: none are sent.
+    :param seed: seed of the processing times and errors.
+    :param journal: file to which each run is written as it begins, so that the runs
+        of a killed process can be read; empty: no file is written.
     """
 
     def __init__(self, shape: Shape, node: str = "", seed: int = 0, journal: str = ""):
         self.shape = shape
         self.node = node
         self.journal = journal
-        self.told_address = ""
+        self.reported_address = ""
         self.random = random.Random(seed)
         self.faults = Faults()
         self.endpoint = f"i-{uuid.uuid4().hex[:10]}"
@@ -126,29 +125,29 @@
         self.address = ""
         self.runner: aiohttp.web.ServerRunner | None = None
         self.session: aiohttp.ClientSession | None = None
-        self.renewing: asyncio.Task | None = None
+        self.heartbeat_task: asyncio.Task | None = None
         self.draining = False
         self.crashed = asyncio.Event()
         self.log = log.Log("upstream")
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Listen at ``host:port`` and begin to send heartbeats."""
+        """Listen at ``host:port`` and start to send heartbeats to the node, if any."""
         await self.listen(address)
         if self.node:
-            await self.report_to(self.node)
+            await self.start_heartbeats(self.node)
 
-    async def report_to(self, node: str, renew: bool = True) -> None:
-        """Begin to send heartbeats to a node.
+    async def start_heartbeats(self, node: str, renew: bool = True) -> None:
+        """Start to send heartbeats to a node.
 
-        :param renew: whether they go on after the first one.
+        :param renew: whether heartbeats follow the first one.
         """
         self.node = node
-        await self.beat()
+        await self.send_heartbeat()
         if renew:
-            self.renewing = asyncio.create_task(self.renew())
+            self.heartbeat_task = asyncio.create_task(self.send_heartbeats())
 
     async def listen(self, address: str) -> None:
-        """Take requests."""
+        """Accept requests at ``host:port``; port 0 selects a free port."""
         self.runner = aiohttp.web.ServerRunner(
             aiohttp.web.Server(self.handle, access_log=None, handler_cancellation=True),
             shutdown_timeout=1.0,
@@ -160,9 +159,9 @@
         self.started = asyncio.get_running_loop().time()
 
     async def stop(self) -> None:
-        """Stop at once, as a killed process does."""
-        if self.renewing is not None:
-            self.renewing.cancel()
+        """Stop abruptly, as a killed process does."""
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
         if self.session is not None:
             await self.session.close()
             self.session = None
@@ -173,20 +172,20 @@
             await self.runner.cleanup()
             self.runner = None
 
-    async def beat(self) -> int:
-        """Send a heartbeat; return the status that answers it, 0 if none does."""
-        return await self.tell("PUT", self.report())
+    async def send_heartbeat(self) -> int:
+        """Send a heartbeat; return the status of the answer, 0 if there was none."""
+        return await self.send_to_node("PUT", self.next_heartbeat())
 
-    def report(self) -> bytes:
-        """Return what the next heartbeat says."""
+    def next_heartbeat(self) -> bytes:
+        """Return the body of the next heartbeat and advance the sequence number."""
         self.sequence += 1
-        cold = self.shape.cold_start - self.age()
+        cold = self.shape.cold_start - self.uptime()
         beat = heartbeats.Heartbeat(
             self.endpoint,
             self.incarnation,
             self.sequence,
             self.shape.service,
-            self.told_address or self.address,
+            self.reported_address or self.address,
             self.shape.version,
             self.shape.slots,
             self.draining,
@@ -194,8 +193,8 @@
         )
         return heartbeats.encode(beat)
 
-    async def tell(self, method: str, data: bytes = b"") -> int:
-        """Send the node something about this endpoint."""
+    async def send_to_node(self, method: str, data: bytes = b"") -> int:
+        """Send a request about this endpoint; return the status, 0 if none."""
         if self.session is None:
             self.session = aiohttp.ClientSession()
         url = f"http://{self.node}{heartbeats.PREFIX}{self.endpoint}"
@@ -206,46 +205,49 @@
             self.log.warn("heartbeat-failed", why=type(error).__name__)
             return 0
 
-    async def renew(self) -> None:
-        """Send heartbeats until stopped."""
+    async def send_heartbeats(self) -> None:
+        """Send heartbeats until cancelled."""
         while True:
             await asyncio.sleep(RENEW_INTERVAL)
-            await self.beat()
+            await self.send_heartbeat()
 
     async def drain(self) -> int:
-        """Say that no new work is wanted; return the status that answers it."""
+        """Report as draining; return the status of the answer, 0 if none.
+
+        The journal records a farewell that the node has acknowledged.
+        """
         self.draining = True
-        status = await self.beat()
+        status = await self.send_heartbeat()
         if status == ACKNOWLEDGED:
-            self.write("farewell")
+            self.write_journal("farewell")
         return status
 
-    async def say_farewell(self) -> int:
-        """Say that it is gone; return the status that answers it."""
-        if self.renewing is not None:
-            self.renewing.cancel()
-        return await self.tell("DELETE")
+    async def send_farewell(self) -> int:
+        """Deregister from the node; return the status of the answer, 0 if none."""
+        if self.heartbeat_task is not None:
+            self.heartbeat_task.cancel()
+        return await self.send_to_node("DELETE")
 
-    async def leave(self) -> None:
-        """Planned stop: drain, finish what runs, say goodbye, stop."""
+    async def drain_and_stop(self) -> None:
+        """Stop as planned: drain, let running requests finish, deregister, stop."""
         if self.node:
             await self.drain()
         loop = asyncio.get_running_loop()
-        end = loop.time() + LEAVE_MOST
+        end = loop.time() + MAX_DRAIN
         while self.running and loop.time() < end:
-            await asyncio.sleep(LEAVE_STEP)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
         if self.node:
-            await self.say_farewell()
+            await self.send_farewell()
         await self.stop()
 
-    def age(self) -> float:
-        """Return the seconds since the start."""
+    def uptime(self) -> float:
+        """Return the seconds since the upstream began to listen."""
         return asyncio.get_running_loop().time() - self.started
 
     async def handle(self, request: aiohttp.web.BaseRequest) -> aiohttp.web.Response:
-        """Answer one request."""
+        """Answer one request, subject to the faults in force."""
         if request.path == "/-/faults":
-            self.faults, answer = await faults.exchange(request, self.faults)
+            self.faults, answer = await faults.handle_faults(request, self.faults)
             return answer
         if request.path == "/-/counts":
             return aiohttp.web.json_response(dict(self.counts) | {"peak": self.peak})
@@ -259,36 +261,36 @@
             request.headers,
             body,
         )
-        if self.hit(run) and self.faults.shed:
+        if self.is_affected(run) and self.faults.shed:
             self.counts["shed"] += 1
             return aiohttp.web.Response(status=503, headers={headers.NOT_RUN: "1"})
-        return await self.work(request, run)
+        return await self.run_request(request, run)
 
-    def hit(self, run: Run) -> bool:
-        """Whether faults hit this request."""
+    def is_affected(self, run: Run) -> bool:
+        """Whether the faults in force affect this request."""
         return (
             run.path.startswith(self.faults.only_prefix)
-            and self.age() >= self.faults.after
+            and self.uptime() >= self.faults.after
             and self.running >= self.faults.above
         )
 
-    async def work(
+    async def run_request(
         self, request: aiohttp.web.BaseRequest, run: Run
     ) -> aiohttp.web.Response:
-        """Run one request; the count happens before anything else."""
+        """Run one request, which is recorded before anything else happens."""
         self.runs.append(run)
-        self.write("run", attempt=run.attempt, key=run.key)
+        self.write_journal("run", attempt=run.attempt, key=run.key)
         self.counts["runs"] += 1
-        hit = self.hit(run)
+        affected = self.is_affected(run)
         self.running += 1
         self.peak = max(self.peak, self.running)
         try:
-            spending = self.spend(run, hit)
+            processing = self.process(run, affected)
             if self.faults.deaf:
-                await asyncio.shield(spending)
-            elif not await finish_by(spending, deadline_of(request)):
-                return self.give_up(run)
-            return await self.answer(request, run, hit)
+                await asyncio.shield(processing)
+            elif not await finish_by(processing, seconds_left(request)):
+                return self.answer_deadline(run)
+            return await self.answer(request, run, affected)
         except asyncio.CancelledError:
             run.cancelled = True
             self.counts["cancelled"] += 1
@@ -296,40 +298,40 @@
         finally:
             self.running -= 1
 
-    def write(self, event: str, **fields: str) -> None:
-        """Write a line to the journal, if there is one."""
+    def write_journal(self, event: str, **fields: str) -> None:
+        """Append a line to the journal, if there is one."""
         if not self.journal:
             return
         line = {"event": event, "endpoint": self.endpoint, "at": time.time()} | fields
         with open(self.journal, "ab") as journal:
             journal.write(msgspec.json.encode(line) + b"\n")
 
-    def give_up(self, run: Run) -> aiohttp.web.Response:
-        """Answer a request whose deadline ended its work."""
+    def answer_deadline(self, run: Run) -> aiohttp.web.Response:
+        """Answer a request whose work was cancelled at its deadline."""
         run.cancelled = True
         self.counts["deadlines"] += 1
         return aiohttp.web.Response(
             status=504, headers={headers.ATTEMPT: run.attempt}, text="deadline"
         )
 
-    async def spend(self, run: Run, hit: bool) -> None:
-        """Spend the time of the work and of the faults."""
-        if hit and self.faults.crash_on and self.must_crash(run):
+    async def process(self, run: Run, affected: bool) -> None:
+        """Wait for the processing time of a request, and for what faults add to it."""
+        if affected and self.faults.crash_on and self.is_crash_request(run):
             self.crash()
         seconds = self.shape.work * self.random.uniform(0.5, 1.5)
-        seconds += self.shape.work if self.age() < self.shape.cold_start else 0.0
-        seconds += self.faults.slow if hit else 0.0
+        seconds += self.shape.work if self.uptime() < self.shape.cold_start else 0.0
+        seconds += self.faults.slow if affected else 0.0
         await asyncio.sleep(seconds)
-        if hit and self.faults.silent:
+        if affected and self.faults.silent:
             await asyncio.Event().wait()
 
-    def must_crash(self, run: Run) -> bool:
-        """Whether a request is one that this upstream dies of."""
-        wanted = self.faults.crash_on
-        return wanted in run.path or wanted.encode() in run.body
+    def is_crash_request(self, run: Run) -> bool:
+        """Whether a request contains the text on which this upstream crashes."""
+        crash_text = self.faults.crash_on
+        return crash_text in run.path or crash_text.encode() in run.body
 
     def crash(self) -> None:
-        """Die: every connection breaks and no request is taken any more."""
+        """Crash: abort every connection and accept no further request."""
         self.counts["crashes"] += 1
         self.crashed.set()
         for connection in list(self.runner.server.connections):
@@ -339,51 +341,53 @@
         raise asyncio.CancelledError
 
     async def answer(
-        self, request: aiohttp.web.BaseRequest, run: Run, hit: bool
+        self, request: aiohttp.web.BaseRequest, run: Run, affected: bool
     ) -> aiohttp.web.Response:
-        """Answer a request that ran."""
-        marks = {headers.ATTEMPT: run.attempt, headers.SIGNATURE: PROOF}
-        if hit and self.random.random() < self.faults.error_rate:
+        """Return the answer to a request that ran."""
+        fields = {headers.ATTEMPT: run.attempt, headers.SIGNATURE: SIGNATURE_VALUE}
+        if affected and self.random.random() < self.faults.error_rate:
             self.counts["errors"] += 1
-            return aiohttp.web.Response(status=500, headers=marks, text="fault")
+            return aiohttp.web.Response(status=500, headers=fields, text="fault")
         run.finished = True
-        if hit:
-            self.spoil(request, marks)
+        if affected:
+            self.apply_answer_faults(request, fields)
         text = f"{self.shape.service} {self.shape.version} {run.path} {run.key}"
         size = int(request.query.get("size", "0"))
         body = text.encode() + run.body + b"." * size
-        return aiohttp.web.Response(headers=marks, body=body)
+        return aiohttp.web.Response(headers=fields, body=body)
 
-    def spoil(self, request: aiohttp.web.BaseRequest, marks: dict[str, str]) -> None:
-        """Do to an answer what the faults say."""
+    def apply_answer_faults(
+        self, request: aiohttp.web.BaseRequest, fields: dict[str, str]
+    ) -> None:
+        """Apply the faults that change or lose an answer."""
         if self.faults.lose:
             request.transport.abort()
         if self.faults.unproved:
-            marks.pop(headers.SIGNATURE)
+            fields.pop(headers.SIGNATURE)
         if self.faults.cut:
-            request.transport.write(raw_answer(marks, b"half", 100))
+            request.transport.write(encode_answer(fields, b"half", 100))
             request.transport.close()
         if self.faults.stray:
             other = {headers.ATTEMPT: "another", headers.SIGNATURE: "other"}
-            request.transport.write(raw_answer(other, b"wrong", 5))
+            request.transport.write(encode_answer(other, b"wrong", 5))
 
 
-def raw_answer(marks: dict[str, str], body: bytes, length: int) -> bytes:
-    """Return an answer's bytes, with a length that may be false."""
+def encode_answer(fields: dict[str, str], body: bytes, length: int) -> bytes:
+    """Return an answer in bytes; ``length`` need not be the length of the body."""
     head = f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n"
-    head += "".join(f"{name}: {value}\r\n" for name, value in marks.items())
+    head += "".join(f"{name}: {value}\r\n" for name, value in fields.items())
     return f"{head}\r\n".encode() + body
 
 
-def deadline_of(request: aiohttp.web.BaseRequest) -> float | None:
-    """Return the seconds that the caller waits; ``None`` if it does not say."""
+def seconds_left(request: aiohttp.web.BaseRequest) -> float | None:
+    """Return the seconds until the deadline of a request; None if it has none."""
     return headers.parse_deadline(request.headers.get(headers.DEADLINE))
 
 
 async def finish_by(
     work: collections.abc.Awaitable[None], seconds: float | None
 ) -> bool:
-    """Return whether some work ended within the seconds; it is cancelled if not."""
+    """Return whether some work ended within the seconds; cancel it if not."""
     try:
         async with asyncio.timeout(seconds):
             await work
--- a/rattanridge/web/bodies.py
+++ b/rattanridge/web/bodies.py
@@ -66,8 +66,6 @@
 async def send_continue(request: aiohttp.web.BaseRequest) -> None:
     """Answer ``Expect: 100-continue``; raise ``bad-request`` for other expectations."""
     if request.headers[aiohttp.hdrs.EXPECT].lower() != "100-continue":
-        raise codes.Failure(
-            codes.BAD_REQUEST, "the only supported expectation is 100-continue"
-        )
+        raise codes.Failure(codes.BAD_REQUEST, "expectation")
     await request.writer.write(CONTINUE)
     request.writer.output_size = 0
--- a/rattanridge/web/server.py
+++ b/rattanridge/web/server.py
@@ -237,16 +237,12 @@
     """
     target = request.raw_path
     if not target.startswith("/") or "#" in target:
-        raise codes.Failure(
-            codes.BAD_REQUEST, "the target does not start with / or contains #"
-        )
+        raise codes.Failure(codes.BAD_REQUEST, "target")
     if PLAIN_TARGET.fullmatch(target):
         return
     path = request.path
     if "\\" in path or not path.isprintable():
-        raise codes.Failure(
-            codes.BAD_REQUEST, "backslash or non-printable character in the target"
-        )
+        raise codes.Failure(codes.BAD_REQUEST, "target")
     if not DOT_SEGMENTS.isdisjoint(path.split("/")):
         raise codes.Failure(codes.BAD_REQUEST, "dot segment in the target")
 
--- a/tests/mesh_world.py
+++ b/tests/mesh_world.py
@@ -126,7 +126,7 @@
         All nodes then count as running, and in contact with each other, for long.
         """
         for node in self.nodes:
-            node.membership.sharers.listed_since = float("-inf")
+            node.membership.budget_nodes.listed_since = float("-inf")
             node.exit.parents.started_at = float("-inf")
 
     async def configure(self, version, *paths):
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -43,7 +43,7 @@
     **more,
 ):
     address = running.hosts[name].node.config.listen.callers
-    sent = {upstreams.KEY: key} if key else {}
+    sent = {upstreams.IDEMPOTENCY_KEY: key} if key else {}
     sent |= {"Deadline-Ms": str(deadline)}
     url = f"http://{address}{path}"
     async with session.post(url, data=body, headers=sent, **more) as response:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -84,7 +84,7 @@
             case "upstream-drains":
                 assert await self.upstream.drain() == 200
             case "upstream-farewell":
-                assert await self.upstream.say_farewell() == 200
+                assert await self.upstream.send_farewell() == 200
             case "exit-killed-before" if self.hops == 2:
                 await self.world.fleet.remove("node-1")
             case "store-down":
@@ -152,7 +152,7 @@
     @pytest.mark.parametrize("method", ["GET", "POST"])
     @pytest.mark.parametrize("fault", [*UPSTREAM_FAULTS, *OTHER_FAULTS])
     async def test_guarantees_hold(self, fault, method, hops, monkeypatch):
-        monkeypatch.setattr(connections, "UNACKED_TIMEOUT", 300)
+        monkeypatch.setattr(connections, "UNACKED_TIMEOUT_MS", 300)
         monkeypatch.setattr(nodes, "READINESS_WAIT", 0.3)
         monkeypatch.setattr(nodes, "CLOSE_CONNECTIONS_AFTER", 0.1)
         world = mesh_world.World()
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -91,8 +91,8 @@
         await world.start("workshop", "workshop")
         flood = floods.Flood(*floods.ENDLESS[name])
         for upstream in world.upstreams:
-            upstream.told_address = await flood.start()
-            await upstream.beat()
+            upstream.reported_address = await flood.start()
+            await upstream.send_heartbeat()
         started_at = asyncio.get_running_loop().time()
         status, received_headers, _ = await world.call(
             "/order/1", "POST", deadline=10_000
@@ -100,8 +100,8 @@
         assert (status, received_headers["Rattanridge-Ran"]) == (502, "unknown")
         assert asyncio.get_running_loop().time() - started_at < 5
         for upstream in world.upstreams:
-            upstream.told_address = ""
-            await upstream.beat()
+            upstream.reported_address = ""
+            await upstream.send_heartbeat()
         assert (await world.call("/order/1", "POST"))[0] == 200
         assert all(node.memory_budget.used == 0 for node in world.nodes)
 
@@ -162,7 +162,7 @@
         assert first.lost
         world.upstreams[1].endpoint = "i-fresh"
         world.upstreams[1].incarnation += 1
-        await world.upstreams[1].beat()
+        await world.upstreams[1].send_heartbeat()
         await world.wait(
             lambda: entry.directory.candidates_of("registry") not in ([], [first])
         )
@@ -272,7 +272,7 @@
         if farewell == "drain":
             assert await first.drain() == 200
         else:
-            assert await first.say_farewell() == 200
+            assert await first.send_farewell() == 200
         before = len(first.runs)
         results = [await world.call("/lookup/1") for _ in range(10)]
         assert {status for status, _, _ in results} == {200}
@@ -283,7 +283,7 @@
     async def test_a_late_heartbeat_after_a_farewell_to_a_new_process(self, world):
         await world.start("registry")
         first = world.upstreams[0]
-        late = first.report()
+        late = first.next_heartbeat()
         upstream = world.nodes[0].upstream
         upstream.identity = None
         upstream.record_farewell(first.endpoint, 0)
@@ -296,7 +296,7 @@
         await world.start("registry", "registry")
         first = world.upstreams[0]
         first.sequence = 5
-        late = first.report()
+        late = first.next_heartbeat()
         first.sequence = 9
         await first.drain()
         upstream = world.nodes[0].upstream
--- a/tests/test_mesh_store.py
+++ b/tests/test_mesh_store.py
@@ -193,12 +193,12 @@
         configs = world.nodes[0].configs
         await world.wait(lambda: configs.version == 2)
         assert len(configs.content) > 100_000
-        assert len(configs.packed()) < 0.15 * len(configs.content)
-        assert configs.decompress(configs.packed()) == configs.content
+        assert len(configs.compressed()) < 0.15 * len(configs.content)
+        assert configs.decompress(configs.compressed()) == configs.content
 
     async def test_dropped_history_is_listed_again(self, world):
         await world.start("registry")
-        world.store.forget()
+        world.store.expire_history()
         await world.configure(6, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 6, 3.0)
 
@@ -240,7 +240,7 @@
         await world.store.put(records.KIND, "gone", records.encode(stale))
         await world.wait(lambda: "gone" in world.nodes[0].directory.records)
         world.upstreams[1].shape.slots = 5
-        await world.upstreams[1].beat()
+        await world.upstreams[1].send_heartbeat()
         found = world.nodes[0].directory
         await world.wait(
             lambda: (
@@ -269,11 +269,11 @@
         await world.start("registry")
         stored = world.store.objects[configs.KIND, configs.NAME]
         size = len(msgspec.json.encode(stored))
-        before = world.store.sent
+        before = world.store.sent_bytes
         for version in range(2, 32):
             await world.configure(version, *mesh_world.DEFAULT_ROUTES)
             await asyncio.sleep(0.03)
         await world.wait(lambda: world.nodes[0].configs.version == 31, 2.0)
-        assert world.store.sent - before < 15 * size
+        assert world.store.sent_bytes - before < 15 * size
         await world.configure(40, *mesh_world.DEFAULT_ROUTES)
         await world.wait(lambda: world.nodes[0].configs.version == 40, 2.0)
--- a/tests/test_presets.py
+++ b/tests/test_presets.py
@@ -22,7 +22,7 @@
 @contextlib.asynccontextmanager
 async def presets_on():
     """Start a stand-in of the store; yield the presets in it, and the stand-in."""
-    standin = metadata.Metadata()
+    standin = metadata.MetadataStore()
     await standin.start()
     client = stores.Store(standin.address)
     try:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -108,7 +108,7 @@
         await world.start("registry")
         node = world.nodes[0]
         budget = node.dispatcher.budget("registry")
-        before = node.membership.sharers.retention
+        before = node.membership.budget_nodes.retention
         changed = settings.Repeats(ratio=0.1, least=3.0, window=20.0)
         fresh = msgspec.structs.replace(node.config, repeats=changed)
         path = tmp_path / "node.yaml"
@@ -116,4 +116,4 @@
         node.settings_file = settings.SettingsFile(str(path))
         node.reload()
         assert budget.settings == changed.budget_settings()
-        assert node.membership.sharers.retention == before + 13.0
+        assert node.membership.budget_nodes.retention == before + 13.0
