--- a/rattanridge/mesh/claim.py
+++ b/rattanridge/mesh/claim.py
@@ -47,7 +47,8 @@
 def claim_name(call: calls.Call, key: str) -> str:
     """Return the name of a request's claim.
 
-    The query is not part of it.
+    The query is not part of it, but of the digest: the key with another query is a
+    conflict.
     """
     path = call.path.partition("?")[0]
     return hash_texts(call.service, call.method, path, key)
--- a/rattanridge/mesh/claims.py
+++ b/rattanridge/mesh/claims.py
@@ -19,8 +19,8 @@
 POLL_INTERVAL = 0.1  # seconds between two reads of a claim whose holder still runs
 MIN_TIME_LEFT = 0.05  # seconds before the deadline at which waiting ends
 MAX_OVERRUN = 30.0  # seconds after its deadline for which work may still run
-WRITE_ATTEMPTS = 6
-FIRST_RETRY_DELAY = 0.3  # seconds before a failed write is retried; doubles
+WRITE_ATTEMPTS = 6  # to write an outcome, or to withdraw a claim
+FIRST_RETRY_DELAY = 0.3  # seconds between the first two attempts; doubles
 SWEEP_INTERVAL = 60.0  # seconds between two removals of old claims
 
 Work = collections.abc.Callable[[], collections.abc.Awaitable[calls.Answer]]
@@ -268,7 +268,7 @@
     async def sweep(self) -> None:
         """Remove old claims every SWEEP_INTERVAL seconds, until cancelled.
 
-        Only done by the sweeper, and only once it has had a call with a key.
+        Does nothing unless this node is the sweeper and has had a call with a key.
         """
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
@@ -289,7 +289,7 @@
 def unchecked_failure(failure: codes.Failure) -> codes.Failure:
     """Return ``claim-unchecked``, for a failure that leaves open what has run.
 
-    An earlier submission of the request may have run.
+    An earlier submission of the request may have run; at the deadline, this one too.
     """
     return codes.Failure(
         codes.CLAIM_UNCHECKED,
--- a/rattanridge/mesh/configs.py
+++ b/rattanridge/mesh/configs.py
@@ -1,4 +1,4 @@
-"""The configuration in effect at this node. Its version never decreases."""
+"""The configuration in force at this node. Its version never decreases."""
 
 import asyncio
 import collections.abc
@@ -19,7 +19,7 @@
 
 
 class State(msgspec.Struct):
-    """What a node has in effect.
+    """What a node has in force.
 
     :param version: version of its configuration; 0 if it has none.
     :param refused: source and error of the last configuration if it could not be
@@ -37,7 +37,8 @@
 
     :param fetch: fetches a page from another node.
     :param fetch_records: fetches the records of all nodes from another node.
-    :param health: of the store; asked to list again if the watch missed a version.
+    :param health: the store's health; makes the watches list again if one of them
+        missed a version.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
 
     @property
     def version(self) -> int:
-        """Version in effect; 0 if there is none yet."""
+        """Version in force; 0 if there is none yet."""
         return self.current.version if self.current is not None else 0
 
     def state(self) -> bytes:
@@ -73,7 +74,7 @@
         return msgspec.json.encode(state)
 
     def compressed(self) -> bytes:
-        """Return the configuration in effect, compressed, for other nodes.
+        """Return the configuration in force, compressed, for other nodes.
 
         All nodes that cannot reach the store may fetch it from this node at the same
         time, over its single link.
@@ -151,7 +152,7 @@
                 return
             self.log.note("configuration-behind", version=self.version, other=version)
             if self.health.up.is_set():
-                self.health.relist(f"another node has version {version} in effect")
+                self.health.relist(f"another node has version {version} in force")
                 await self.read_from_store()
             else:
                 await self.read_from_peer()
--- a/rattanridge/mesh/connections.py
+++ b/rattanridge/mesh/connections.py
@@ -115,7 +115,7 @@
         """Do nothing: aiohttp calls this on each read, but reading never pauses."""
 
     def deliver_or_abort(self) -> None:
-        """Deliver the response if it is whole; abort after too many other ones."""
+        """Deliver the response if it is whole; abort after too many unmatched ones."""
         try:
             self.deliver_response()
         except codes.Failure as failure:
@@ -164,7 +164,7 @@
         )
 
     def fail(self, reason: str, failure: codes.Failure | None = None) -> None:
-        """Raise in the waiting request, as no whole response will come.
+        """Fail the waiting request, as no whole response will come.
 
         :param failure: the failure to raise; ``upstream-failed`` if None.
         """
--- a/rattanridge/mesh/coordinator.py
+++ b/rattanridge/mesh/coordinator.py
@@ -169,7 +169,7 @@
         evaluation.sum_reports()
 
     async def fetch_report(self, address: str) -> monitoring.Report | None:
-        """Return the report of one exit; None if it does not answer."""
+        """Return the report of one exit; None if none comes or it is unreadable."""
         data = await self.peers.fetch(address, "GET", monitoring.REPORT_PATH)
         if data is None:
             self.log.note("evidence-missing", node=address)
--- a/rattanridge/mesh/dispatcher.py
+++ b/rattanridge/mesh/dispatcher.py
@@ -15,7 +15,7 @@
 )
 from rattanridge.policies import placement, queueing, retry_budget
 
-MAX_EXIT_REFUSALS = 3  # refusals of one call before it reached any endpoint
+MAX_EXIT_REFUSALS = 3  # attempts of one call that did not reach an upstream
 # Connections to upstreams that may break during one call; the call may be the cause.
 MAX_UPSTREAM_FAILURES = 2
 NO_ENDPOINT_RETRY_AFTER = 0.3  # seconds
@@ -45,7 +45,7 @@
 
     :param tried: nodes that the call was sent to.
     :param upstreams_reached: number of attempts that reached an upstream.
-    :param exit_refusals: number of attempts that were refused before an upstream.
+    :param exit_refusals: number of attempts that did not reach an upstream.
     :param upstream_failures: number of attempts during which an upstream broke off.
     :param best_answer: the answer to return if no better one comes.
     """
@@ -69,8 +69,8 @@
     """Runs calls at the endpoints of their service.
 
     :param filter_candidates: returns the candidates whose version a call may use.
-    :param count_budget_nodes: returns among how many nodes the fixed part of the retry
-        budget is divided; 0 if this node has no part of it.
+    :param count_budget_nodes: returns among how many nodes the fixed allowance of the
+        retry budget is divided; 0 if this node has no share of it.
     :param record_peer_version: called with the version of the configuration at each
         exit that answers, and the exit's address.
     :param peers: forwards calls to other nodes.
@@ -116,7 +116,10 @@
             budget.settings = self.config.repeats.budget_settings()
 
     async def run(self, call: calls.Call, route: routes.Route) -> calls.Answer:
-        """Return the answer to a call; the best refusal if no endpoint accepted it."""
+        """Return the answer to a call; the best refusal if no endpoint accepted it.
+
+        Raise ``stopping`` if the call might outlast this process.
+        """
         self.check_can_finish(route)
         self.record_request(call)
         if call.is_retry and not self.try_spend_retry(call):
@@ -207,7 +210,7 @@
             )
 
     def start_polling(self, candidate: placement.Candidate) -> None:
-        """Start to poll a node that could not be reached; no request is used for it."""
+        """Start to poll a node that could not be reached, without using requests."""
         self.peers.pool.close_idle(candidate.hop)
         if candidate.lost:
             return
@@ -217,7 +220,7 @@
         task.add_done_callback(self.poll_tasks.discard)
 
     async def poll_until_reachable(self, candidate: placement.Candidate) -> None:
-        """Poll a node with connections until it accepts one or its record is gone."""
+        """Connect to a node repeatedly until it accepts or is no longer a candidate."""
         loop = asyncio.get_running_loop()
         self.log.note("node-lost", name=candidate.node, hop=candidate.hop)
         while candidate in self.directory.candidates_of(candidate.service):
@@ -286,8 +289,7 @@
     def log_move(
         self, call: calls.Call, candidate: placement.Candidate, answer: calls.Answer
     ) -> None:
-        """Log that a call moves to another endpoint, with the recorded state of the
-        one that failed."""
+        """Log that a call moves to another endpoint, and the failed one's state."""
         reason = answer.code.name if answer.code is not None else str(answer.status)
         now = asyncio.get_running_loop().time()
         self.meters.retries.labels(reason).inc()
--- a/rattanridge/mesh/entry.py
+++ b/rattanridge/mesh/entry.py
@@ -97,7 +97,8 @@
     ) -> tuple[calls.Call, routes.Route]:
         """Read a whole request and return it as a call with its route.
 
-        Raise ``not-ready`` without a configuration, ``no-route`` if none matches.
+        Raise ``not-ready`` if there is no configuration, ``no-route`` if no route
+        matches, and other coded failures if the body is refused.
         """
         current = self.configs.current
         if current is None:
@@ -139,7 +140,8 @@
     def respond(self, answer: calls.Answer) -> aiohttp.web.Response:
         """Return the response to send to the caller.
 
-        A server error whose work provably did not run becomes a 503 with Retry-After.
+        A refusal with a server error becomes a 503 with Retry-After if the work
+        provably did not run.
         """
         response_headers = multidict.CIMultiDict(answer.headers)
         status = answer.status
--- a/rattanridge/mesh/events.py
+++ b/rattanridge/mesh/events.py
@@ -37,7 +37,7 @@
             "upstream_seconds", "Seconds until the local endpoint answered"
         )
         self.version = self.gauge(
-            "configuration_version", "Version of the configuration in effect"
+            "configuration_version", "Version of the configuration in force"
         )
         self.running = self.gauge("running", "Requests running at the local endpoint")
         self.waiting = self.gauge(
@@ -49,7 +49,7 @@
             "service",
         )
         self.budget_nodes = self.gauge(
-            "budget_nodes", "Nodes that share the fixed part of the retry budget"
+            "budget_nodes", "Nodes that share the fixed allowance of the retry budget"
         )
         self.data_age = self.gauge(
             "belief_age_seconds",
--- a/rattanridge/mesh/exit.py
+++ b/rattanridge/mesh/exit.py
@@ -315,18 +315,21 @@
 
 
 def check_response(response: connections.Response) -> None:
-    """Raise if a response may not be the upstream's own or may not be whole."""
+    """Raise ``answer-cut`` if a response may not be the upstream's own, whole one.
+
+    Raise ``upstream-failed`` if its status would wrongly say that nothing ran.
+    """
     if 200 <= response.status < 300:
         if headers.SIGNATURE not in response.headers:
             raise codes.Failure(
                 codes.ANSWER_CUT,
-                f"answer of status {response.status} has no {headers.SIGNATURE} header",
+                f"response with status {response.status} lacks {headers.SIGNATURE}",
                 ran=codes.Execution.UNKNOWN,
             )
         if "Content-Encoding" in response.headers:
             raise codes.Failure(
                 codes.ANSWER_CUT,
-                "answer has an unexpected Content-Encoding header",
+                "response has an unexpected Content-Encoding header",
                 ran=codes.Execution.UNKNOWN,
             )
     if response.status in calls.NOT_RUN_STATUSES:
--- a/rattanridge/mesh/handlers.py
+++ b/rattanridge/mesh/handlers.py
@@ -28,7 +28,7 @@
 
 
 class HopHandler:
-    """Handles calls that other nodes forward to the local exit, and their pages.
+    """Handles calls that other nodes forward to the local exit, and page requests.
 
     :param hop_auth: checks that the sender is a node.
     """
@@ -148,7 +148,8 @@
         """Apply a heartbeat or a farewell.
 
         If the upstream is leaving, wait until the node's record is published, so that
-        other nodes can receive it before the upstream gets its acknowledgement.
+        other nodes can receive it before the upstream gets its acknowledgement. Raise
+        ``bad-request`` for other methods.
         """
         if method == "DELETE":
             self.upstream.record_farewell(endpoint, heartbeats.decode_leave(data))
--- a/rattanridge/mesh/hop_headers.py
+++ b/rattanridge/mesh/hop_headers.py
@@ -43,7 +43,7 @@
         raise codes.Failure(
             codes.BAD_REQUEST,
             f"a forwarded call needs {headers.DEADLINE} and {CALL_FIELDS} fields in "
-            f"{own_headers.CALL}; got {len(parts)} fields, {time_left} s",
+            f"{own_headers.CALL}; got {len(parts)} fields, deadline: {time_left}",
         )
     try:
         rank, nested, is_retry, timely, version = map(int, parts[3:8])
--- a/rattanridge/mesh/membership.py
+++ b/rattanridge/mesh/membership.py
@@ -110,7 +110,7 @@
         self.budget_nodes.record_contact(clock.seconds_since_boot())
 
     def count_budget_nodes(self) -> int:
-        """Return the number of nodes that share the fixed part of the retry budget.
+        """Return the number of nodes that share the retry budget's fixed allowance.
 
         0 means that this node has no share of it at present.
         """
--- a/rattanridge/mesh/monitoring.py
+++ b/rattanridge/mesh/monitoring.py
@@ -43,11 +43,12 @@
     ) -> None:
         """Record one request that was sent to the upstream.
 
-        The counts start again with each incarnation of the upstream. A lost answer is
-        not counted, as it is no evidence on the version. The time of a request is
-        ignored while the upstream is cold, and a status of 504 is no failure.
+        The counts start again with each incarnation of the upstream. A request
+        without a response is not counted, as that is no evidence on the version. The
+        time of a request is ignored while the upstream is cold, and a status of 504 is
+        no failure.
 
-        :param status: status of the answer; None if it was lost.
+        :param status: status of the response; None if none came.
         :param spent: seconds that the upstream took.
         """
         if self.upstream.identity != self.identity:
--- a/rattanridge/mesh/node.py
+++ b/rattanridge/mesh/node.py
@@ -37,7 +37,7 @@
 
 DRAIN_POLL_INTERVAL = 0.05  # seconds between two checks for requests in progress
 READINESS_WAIT = 2.6  # seconds in which the platform probes the readiness twice
-CLOSE_CONNECTIONS_AFTER = 1.2  # seconds from SIGTERM until answers close connections
+CLOSE_CONNECTIONS_AFTER = 1.2  # seconds from SIGTERM until responses close connections
 SHUTDOWN_RESERVE = 0.6  # seconds of the grace period that are kept for the shutdown
 LATE_CALLS_WAIT = 0.1  # seconds for calls sent before their senders saw the shutdown
 MAINTENANCE_INTERVAL = 1.0  # seconds
--- a/rattanridge/mesh/peers.py
+++ b/rattanridge/mesh/peers.py
@@ -42,7 +42,7 @@
         return True
 
     async def fetch(self, address: str, method: str, path: str) -> bytes | None:
-        """Return a page of another node; None without an answer of status 200."""
+        """Return a page of another node; None without a response of status 200."""
         request_headers = [("Host", address), *self.hop_auth.signature_headers]
         request = connections.write_request(method, path, request_headers, b"")
         try:
--- a/rattanridge/mesh/records.py
+++ b/rattanridge/mesh/records.py
@@ -1,4 +1,4 @@
-"""Records in the store: each node writes its own one, only when it changes."""
+"""Records in the store: each node writes its own, only when it changes."""
 
 import msgspec
 
--- a/rattanridge/mesh/response_limits.py
+++ b/rattanridge/mesh/response_limits.py
@@ -3,7 +3,7 @@
 from rattanridge.kernel import codes
 from rattanridge.web import memory
 
-MAX_BODY_BYTES = 33_554_432  # of one response
+MAX_BODY_BYTES = 33_554_432  # of all bodies that come during one request
 # Bytes of heads, chunk framing and other responses, in addition to the bodies.
 MAX_FRAMING_BYTES = 262_144
 BODY_BYTES_PER_FRAMING_BYTE = 16  # each 16 bytes of a body allow one more of framing
@@ -36,10 +36,10 @@
         bodies += self.unmatched_bytes
         framing = self.size - bodies
         if bodies > MAX_BODY_BYTES:
-            raise response_failure(f"answer has more than {MAX_BODY_BYTES} bytes")
+            raise response_failure(f"response has more than {MAX_BODY_BYTES} bytes")
         if framing > MAX_FRAMING_BYTES + bodies // BODY_BYTES_PER_FRAMING_BYTE:
             raise response_failure(
-                f"{framing} bytes beside {bodies} bytes of bodies belong to no answer"
+                f"{framing} bytes beside {bodies} bytes of bodies belong to no response"
             )
         if bodies > memory.SMALL_BODY_BYTES:
             self.reserve(bodies - self.reserved)
@@ -53,7 +53,7 @@
         self.unmatched_responses += 1
         if self.unmatched_responses > MAX_UNMATCHED_RESPONSES:
             raise response_failure(
-                f"more than {MAX_UNMATCHED_RESPONSES} answers to other requests"
+                f"more than {MAX_UNMATCHED_RESPONSES} responses to other requests"
             )
 
     def reserve(self, size: int) -> None:
--- a/rattanridge/mesh/settings.py
+++ b/rattanridge/mesh/settings.py
@@ -109,6 +109,7 @@
 
     :param name: the node's name, unique in the fleet.
     :param zone: its availability zone.
+    :param region: accepted, but not used.
     :param service: service of the local upstream.
     :param upstream: ``host:port`` of that upstream.
     :param store: ``host:port`` of the platform's store.
@@ -154,7 +155,10 @@
 
 
 def validate(found: Settings, where: str) -> None:
-    """Validate what the types do not cover: addresses, tokens, names of plug-ins."""
+    """Validate what the types do not cover, such as addresses and plug-in names.
+
+    Raise ``bad-field`` for the first field that is invalid.
+    """
     for name in ("name", "zone", "service"):
         settings.check_word(getattr(found, name), name, where)
     settings.check_address(found.store, "store", where)
--- a/rattanridge/policies/idle_timeout.py
+++ b/rattanridge/policies/idle_timeout.py
@@ -25,7 +25,7 @@
 
         :param idle: seconds that the connection was idle before the request.
         :param lasted: seconds from sending the request until the connection broke,
-            without a byte of an answer.
+            without a byte of a response.
         """
         if idle < MIN_IDLE_TIME or lasted > DROP_DETECTION_TIME:
             return False
--- a/rattanridge/policies/placement.py
+++ b/rattanridge/policies/placement.py
@@ -14,11 +14,11 @@
 
 LOAD_REPORT_TTL = 2.0  # seconds after which a reported load is ignored
 LATENCY_RATIO_WEIGHT = 0.2  # of one answer in an endpoint's moving average
-LATENCY_RATIO_RANGE = (0.2, 20.0)
+LATENCY_RATIO_RANGE = (0.2, 20.0)  # limits of an endpoint's moving average
 LATENCY_RATIO_HALF_LIFE = 3.0  # seconds
 SHED_WEIGHT = 0.15  # of one answer in an endpoint's share of shed requests
 SHED_HALF_LIFE = 1.5  # seconds
-INITIAL_PAUSE = 0.2  # seconds without requests after the first failure to reach it
+INITIAL_PAUSE = 0.2  # seconds without requests after one failure to reach an endpoint
 MAX_PAUSE = 2.0  # seconds
 # Multiple of the expected processing time; longer silence counts as waiting time.
 SILENCE_TOLERANCE = 2.0
@@ -61,6 +61,8 @@
     :param last_shed_share: fraction of requests that it sheds or fails, as of
         ``shed_at``.
     :param failures: consecutive failures to reach it.
+    :param paused_until: monotonic seconds until which it is chosen only if there is no
+        other.
     :param lost: whether its node can't be reached; it gets no request until the node
         answers again.
     """
--- a/rattanridge/policies/queueing.py
+++ b/rattanridge/policies/queueing.py
@@ -46,7 +46,9 @@
     ready: asyncio.Future | None = None
 
 
+# Returns the sort key of a request; the flag says whether it would be late.
 Order = collections.abc.Callable[[Ticket, bool], tuple]
+# Returns whether a request may wait; the number is the current monotonic seconds.
 Admission = collections.abc.Callable[["Queue", Ticket, float], bool]
 ORDERS: registry.Registry[Order] = registry.Registry("queue order")
 ADMISSIONS: registry.Registry[Admission] = registry.Registry("admission")
--- a/rattanridge/policies/retry_budget.py
+++ b/rattanridge/policies/retry_budget.py
@@ -23,10 +23,10 @@
 from rattanridge.kernel import registry
 
 BUCKETS_PER_WINDOW = 20
-# Part of the ratio that each request earns: it counts in one of two windows.
+# Fraction of the ratio that each request earns, as it counts in one of two windows.
 EARNED_SHARE = 0.5
 CREDIT_LIFETIME = 0.7  # of a window, in which a request can pay for a retry
-# Part of a window by which a request may be read late, and a retry may arrive late.
+# Fraction of a window by which a request may be read late, and a retry may arrive late.
 MAX_DELAY = 0.3
 ROUNDING_TOLERANCE = 1e-9  # retries
 
@@ -55,7 +55,7 @@
 
 @BUDGETS.register("shared-budget")
 class Budget:
-    """One node's part of one service's budget.
+    """One node's share of one service's budget.
 
     All times are in seconds of a single clock that keeps running while the host is
     suspended.
@@ -85,9 +85,9 @@
         return sum(amount for _, amount in self.earned)
 
     def allowance_left(self, nodes: int, now: float) -> float:
-        """Return the retries left of the node's part of the fixed allowance.
+        """Return the retries left of the node's share of the fixed allowance.
 
-        :param nodes: nodes that share the allowance; 0 if this one has no part of it.
+        :param nodes: nodes that share the allowance; 0 if this one has no share of it.
         """
         while (
             self.allowance_spent
@@ -102,7 +102,7 @@
     def try_spend(self, nodes: int, now: float) -> bool:
         """Spend one retry; return False if none is left.
 
-        :param nodes: nodes that share the allowance; 0 if this one has no part of it.
+        :param nodes: nodes that share the allowance; 0 if this one has no share of it.
         """
         earned = self.earned_left(now)
         if earned + self.allowance_left(nodes, now) < 1 - ROUNDING_TOLERANCE:
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 async def running():
-    """Three hosts; the first one serves the press. Route ``/print`` has no key."""
+    """Three hosts; the first serves the press. Route ``/print`` has no key source."""
     async with fleet.Fleet() as made:
         await made.add("one", "zone-a", upstreams.Shape("press", work=0.0))
         await made.add("two", "zone-a", upstreams.Shape("other"))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -119,7 +119,7 @@
         return False
 
     async def run(self):
-        """Send the request; return status, headers and body, None without answer."""
+        """Send the request; return status, headers and body; None if unanswered."""
         deadline = SHORT_DEADLINE_MS if self.fault == "silent" else DEADLINE_MS
         limit = 0.02 if self.fault == "caller-leaves" else HANG_TIMEOUT
         task = asyncio.create_task(self.inject_during())
@@ -183,7 +183,7 @@
             assert (case.fault, status) == ("fail", 500)
 
     def check_counts(self, case, answer):
-        """Check that unsafe work ran at most once, and that 'not run' is true."""
+        """Check that POST ran at most once, GET twice, and that 'not run' is true."""
         max_runs = 1 if case.method == "POST" else 2
         assert case.count() <= max_runs
         if answer is None:
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -10,7 +10,7 @@
 
 class TestCallsOfRetries:
     async def test_calls_of_a_retry_count_as_retries(self, world):
-        """The exit must know it too, for the calls that its upstream makes."""
+        """The exit must be told of a retry, for the calls that its upstream makes."""
         await world.start("workshop", "registry", "registry")
         world.end_startup_period()
         for upstream in world.upstreams[1:]:
@@ -62,7 +62,7 @@
 class TestRetryBudget:
     """What a node counts against the budget that all nodes share."""
 
-    # Guards against: each process that starts gets a new part of the fixed allowance,
+    # Guards against: each process that starts gets a new share of the fixed allowance,
     # so that restarts exceed it.
     async def test_a_node_that_has_just_started_has_no_part_of_the_fixed_allowance(
         self, world
--- a/tests/test_retry_budget_policy.py
+++ b/tests/test_retry_budget_policy.py
@@ -269,8 +269,8 @@
             counts = [between(requests, start - back) for back in (0.0, 5.0, 10.0)]
             assert between(retries, start) <= SETTINGS.ratio * max(counts)
 
-    # Guards against parts of the allowance that are too large: nodes that have lost the
-    # store do not count those that joined since.
+    # Guards against shares of the allowance that are too large: nodes that have lost
+    # the store do not count those that joined since.
     def test_nodes_that_have_not_seen_new_ones(self):
         fleet = Fleet(1, 2)
         fleet.wait(50)
@@ -282,7 +282,7 @@
         fleet.spend(fleet.nodes)
         assert 0 < len(fleet.arrived) <= SETTINGS.min_retries
 
-    # Guards against spending twice: the remaining nodes take over the parts of nodes
+    # Guards against spending twice: the remaining nodes take over the shares of nodes
     # that spent theirs and left.
     def test_nodes_that_spend_and_leave(self):
         fleet = Fleet(1, 29)
