--- a/rattanridge/admin/objects.py
+++ b/rattanridge/admin/objects.py
@@ -56,7 +56,7 @@
 def encode(value: object) -> bytes:
     """Return an object as JSON for the store.
 
-    Raises ``too-large`` if it has more than ``MAX_OBJECT_BYTES`` bytes.
+    Raise ``too-large`` if it has more than ``MAX_OBJECT_BYTES`` bytes.
     """
     data = msgspec.json.encode(value)
     if len(data) > MAX_OBJECT_BYTES:
--- a/rattanridge/admin/presets.py
+++ b/rattanridge/admin/presets.py
@@ -84,7 +84,7 @@
     async def show(self, name: str, revision: int = 0) -> objects.Revision:
         """Return one revision with its content; 0 means the newest.
 
-        Raises ``no-preset`` if there is none.
+        Raise ``no-preset`` if there is none.
         """
         stored = await self.list_revisions(name)
         matching = [
@@ -194,7 +194,7 @@
     async def get_choice(self, generation: int) -> objects.Choice | None:
         """Return the choice that produced a generation.
 
-        Returns None if the platform's operator wrote that generation.
+        Return None if the platform's operator wrote that generation.
         """
         key = objects.choice_key(generation)
         stored = await self.store.get(objects.CHOICES, key)
--- a/rattanridge/admin/rollouts.py
+++ b/rattanridge/admin/rollouts.py
@@ -30,7 +30,9 @@
 class Step(msgspec.Struct):
     """One step of the plan.
 
-    :param share: fraction of the requests; 0 means the full load of one endpoint.
+    :param share: fraction of the requests; 0 if ``one_endpoint`` is set.
+    :param one_endpoint: whether the step sends one endpoint of the new version as
+        many requests as load it fully.
     """
 
     share: float
@@ -72,7 +74,7 @@
     async def start(self, service: str, requested: Start) -> Rollout:
         """Start a rollout.
 
-        Raises ``rollout-running`` if one is running already, or if another operator
+        Raise ``rollout-running`` if one is running already, or if another operator
         starts one at the same time.
         """
         self.check_versions(service, requested)
@@ -130,7 +132,7 @@
     async def get_stored(self, service: str) -> stores.StoredObject:
         """Return the stored object of a service's newest rollout.
 
-        Raises ``rollout-missing`` if there is none.
+        Raise ``rollout-missing`` if there is none.
         """
         stored = await self.store.get(orders.KIND, service)
         if stored is None:
@@ -142,8 +144,9 @@
     async def cancel(self, service: str, operator: str) -> Rollout:
         """Roll back a running rollout.
 
-        The coordinator may write the status at the same time, so the write is
-        attempted up to ``CANCEL_ATTEMPTS`` times.
+        Raise ``rollout-ended`` if it is not running. The coordinator may write the
+        status at the same time, so the write is attempted up to ``CANCEL_ATTEMPTS``
+        times; then raise ``conflict``.
         """
         for _ in range(CANCEL_ATTEMPTS):
             stored = await self.get_stored(service)
@@ -192,7 +195,7 @@
 def decode_rollout(stored: stores.StoredObject) -> Rollout:
     """Decode a stored order and its status into the form that operators get.
 
-    Raises ``bad-field`` if the order is invalid.
+    Raise ``bad-field`` if the order is invalid.
     """
     order = orders.decode_order(stored.spec)
     status = status_of(order, stored)
--- a/rattanridge/admin/server.py
+++ b/rattanridge/admin/server.py
@@ -46,7 +46,7 @@
     def query_int(self, name: str) -> int | None:
         """Return an integer query parameter; None if it is absent or empty.
 
-        Raises ``admin-bad-request`` unless it has one to nine decimal digits.
+        Raise ``admin-bad-request`` unless it has one to nine decimal digits.
         """
         text = self.query.get(name, "")
         if not text:
@@ -152,7 +152,7 @@
         """Return the settings of the bearer token that was sent.
 
         All tokens are compared, each in full, so that the response time does not show
-        how much of a secret was right. Raises ``no-token`` if none matches.
+        how much of a secret was right. Raise ``no-token`` if none matches.
         """
         scheme, _, secret = request.headers.get("Authorization", "").partition(" ")
         sent = secret.encode(errors="surrogateescape")
@@ -169,7 +169,7 @@
     ) -> tuple[Operation, dict[str, str]]:
         """Return the operation for a request, and the named parts of its path.
 
-        Raises ``no-operation`` for an unknown path and ``wrong-method`` for a known
+        Raise ``no-operation`` for an unknown path and ``wrong-method`` for a known
         path with another method.
         """
         matching = [
--- a/rattanridge/admin/status.py
+++ b/rattanridge/admin/status.py
@@ -137,7 +137,7 @@
 
 
 def decode_state(data: bytes | None) -> configs.State | None:
-    """Decode a node's response; None if there was none or it is unreadable."""
+    """Decode a node's answer; None if there was none or it is unreadable."""
     return (
         untrusted_json.decode_or_none(data, configs.State) if data is not None else None
     )
--- a/rattanridge/admin/store_writes.py
+++ b/rattanridge/admin/store_writes.py
@@ -70,8 +70,8 @@
 ) -> stores.StoredObject | None:
     """Return the object that the store holds after a failed write.
 
-    Returns None if there is none, if the store was too busy for the write to take
-    effect, or if the read failed for a reason that may pass. Raises the write's
+    Return None if there is none, if the store was too busy for the write to take
+    effect, or if the read failed for a reason that may pass. Raise the write's
     ``failure`` if the read failed for any other reason.
     """
     if failure.code is codes.PLATFORM_BUSY:
--- a/rattanridge/cli/preset.py
+++ b/rattanridge/cli/preset.py
@@ -103,7 +103,7 @@
     """Wait until all known nodes apply a generation; return their number.
 
     A node that does not answer counts as one that does not apply it, because its
-    state is unknown. Raises ``not-in-force`` as soon as a node refuses a
+    state is unknown. Raise ``not-in-force`` as soon as a node refuses a
     configuration, or at ``end``.
 
     :param end: time limit, in seconds of the monotonic clock.
--- a/rattanridge/cli/remote.py
+++ b/rattanridge/cli/remote.py
@@ -37,7 +37,7 @@
     def call(self, method: str, path: str, body: bytes = b"") -> typing.Any:
         """Make one call; return the decoded response.
 
-        Raises the coded failure that the node answers with, or ``admin-unreachable``
+        Raise the coded failure that the node answers with, or ``admin-unreachable``
         if it does not answer.
         """
         return asyncio.run(self.request(method, path, body))
--- a/rattanridge/cli/soak.py
+++ b/rattanridge/cli/soak.py
@@ -29,9 +29,9 @@
     "--keep", default="", help="Directory to which the logs of failed runs are moved."
 )
 def soak(seed: int, seeds: int, minutes: float, keep: str) -> None:
-    """Run real processes under random faults and check the system's guarantees.
+    """Run real processes under random faults and check the documented promises.
 
-    Exit with status 1 if a guarantee was broken in any run; the logs of such a run
+    Exit with status 1 if a promise was broken in any run; the logs of such a run
     are kept.
     """
     log.configure("error")
--- a/rattanridge/cli/standin.py
+++ b/rattanridge/cli/standin.py
@@ -67,12 +67,14 @@
 @click.option(
     "--cold-start",
     default=0.0,
-    help="Seconds after the start in which requests take twice as long.",
+    help="Seconds after the start in which the mean time per request is doubled.",
 )
 @click.option("--seed", default=0, show_default=True)
 @click.option("--tell", default="", help="HOST:PORT to report instead of --address.")
 @click.option(
-    "--journal", default="", help="File to which each request that runs is written."
+    "--journal",
+    default="",
+    help="File to which runs and the acknowledged drain are written.",
 )
 @fault_option
 def upstream(
@@ -90,8 +92,8 @@
 ) -> None:
     """Run a stand-in of an upstream that sends heartbeats to its node.
 
-    SIGTERM drains it. PUT /-/faults replaces its faults. A request that crashes it
-    ends the process with status 70.
+    SIGTERM drains and stops it. PUT /-/faults replaces its faults. A request that
+    crashes it ends the process with status 70.
     """
     log.configure()
     shape = upstreams.Shape(service, version, slots, work, cold_start)
@@ -121,6 +123,8 @@
 ) -> None:
     """Run a server until SIGTERM or SIGINT, then stop it gracefully.
 
+    Raise ``cannot-listen`` if ``start`` fails to listen.
+
     :param crashed: set when the server has crashed; it is then not stopped.
     """
     ended = crashed or asyncio.Event()
--- a/rattanridge/kernel/presets.py
+++ b/rattanridge/kernel/presets.py
@@ -37,7 +37,8 @@
     """A rule that sends matching requests to a service.
 
     :param host: exact host name in lower case, or ``*``.
-    :param prefix: path prefix; matches only up to a slash or the end of the path.
+    :param prefix: path prefix; matches whole path segments: ``/a`` matches ``/a/b``,
+        but not ``/ab``.
     :param methods: HTTP methods, or ``["*"]`` for all.
     :param service: the service that gets the requests.
     :param idempotent: whether a request may safely run more than once.
@@ -108,7 +109,7 @@
 
 
 def check_key(key: routes.KeySource | None, location: str) -> None:
-    """Raise if a key source is not registered or has no header or field name."""
+    """Raise ``bad-field`` if a key source is not registered or has no name."""
     if key is None:
         return
     try:
--- a/rattanridge/measure/base.py
+++ b/rattanridge/measure/base.py
@@ -46,7 +46,7 @@
 
 
 Experiment = collections.abc.Callable[[Parameters], Result]
-EXPERIMENTS: registry.Registry[Experiment] = registry.Registry("measurement")
+EXPERIMENTS: registry.Registry[Experiment] = registry.Registry("experiment")
 
 
 def percentile(values: collections.abc.Iterable[float], fraction: float) -> float:
--- a/rattanridge/measure/claims.py
+++ b/rattanridge/measure/claims.py
@@ -42,7 +42,7 @@
             await send(session, url, {upstreams.IDEMPOTENCY_KEY: f"k{number}"})
             for number in range(calls)
         ]
-        # The node writes the outcome of a claim after it has answered the request.
+        # Outcomes of claims are written in the background: wait for the last ones.
         await asyncio.sleep(0.5)
         spent = mesh.store.calls - before
     return {
--- a/rattanridge/measure/latency.py
+++ b/rattanridge/measure/latency.py
@@ -121,7 +121,11 @@
 async def measure_memory(
     group: processes.ProcessGroup, addresses: dict[str, str]
 ) -> dict[str, float]:
-    """Return the memory of a node in MB, and of one idle connection to it in kB."""
+    """Return the memory of a node, and of one idle connection to it.
+
+    Both are read in KiB: ``node_memory_mb`` is in units of 1000 KiB,
+    ``idle_connection_kb`` in KiB.
+    """
     index = 1 + NODES.index("beside")
     before = group.memory_kib()[index]
     host, _, port = addresses["local"].rpartition(":")
@@ -170,8 +174,8 @@
 ) -> list[float]:
     """Start calls at random intervals; return their latencies in ms.
 
-    The load is open-loop: a call does not wait until earlier ones have ended. At
-    least one call is made.
+    The load is open-loop: a call does not wait until earlier ones have ended. An
+    interval is at most twice the mean. At least one call is made.
 
     :param rate: calls per second.
     :param seconds: duration in which calls are started.
--- a/rattanridge/platform/configs.py
+++ b/rattanridge/platform/configs.py
@@ -118,7 +118,11 @@
 def decode_route(
     host: str, item: WireRoute, services: dict[str, routes.Service]
 ) -> routes.Route:
-    """Decode one route; raise if ``services`` lacks one of its services."""
+    """Decode one route.
+
+    Raise ``bad-field`` for an invalid field, or ``missing-service`` if ``services``
+    lacks one of its services.
+    """
     shares = decode_shares(item)
     check_route(item, shares, services)
     extras = item.extras or WireExtras()
@@ -150,7 +154,10 @@
     shares: tuple[routes.Share, ...],
     services: dict[str, routes.Service],
 ) -> None:
-    """Raise if a route has an invalid field or names a service that is not defined."""
+    """Raise ``bad-field`` for an invalid field of a route.
+
+    Raise ``missing-service`` if the route names a service that is not defined.
+    """
     where = f"route {item.name}"
     if item.kind not in KINDS:
         raise codes.Failure(codes.BAD_FIELD, f"kind {item.kind!r}", where=where)
--- a/rattanridge/platform/headers.py
+++ b/rattanridge/platform/headers.py
@@ -1,6 +1,6 @@
 """Platform headers in requests and answers of callers and upstreams."""
 
-ATTEMPT = "Attempt-Id"  # id of one sending; a client's retry gets a new one
+ATTEMPT = "Attempt-Id"  # id of one attempt; a client's retry gets a new one
 DEADLINE = "Deadline-Ms"  # milliseconds for which the sender still waits
 SIGNATURE = "Response-Signature"  # the upstream's signature over its answer
 ENDPOINT = "Target-Instance"  # endpoint id; any other endpoint answers 421
--- a/rattanridge/platform/heartbeats.py
+++ b/rattanridge/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats and leave messages that an upstream sends to its local node."""
+"""Heartbeats and farewells that an upstream sends to its local node."""
 
 import dataclasses
 
@@ -53,7 +53,7 @@
 
 
 class WireLeave(msgspec.Struct):
-    """Body of a leave message; it may be empty. ``born`` is the incarnation."""
+    """Body of a farewell; it may be empty. ``born`` is the incarnation."""
 
     born: int = 0
 
@@ -101,6 +101,6 @@
 
 
 def decode_leave(data: bytes) -> int:
-    """Return the incarnation named in a leave message; 0 if there is none."""
+    """Return the incarnation named in a farewell; 0 if there is none."""
     wire = untrusted_json.decode_or_none(data, WireLeave)
     return wire.born if wire is not None else 0
--- a/rattanridge/platform/orders.py
+++ b/rattanridge/platform/orders.py
@@ -16,7 +16,7 @@
 class Order:
     """An operator's request to move a service's traffic to another version.
 
-    :param duration: seconds after the order within which the move must be complete.
+    :param duration: seconds after the order within which the rollout must complete.
     """
 
     service: str
--- a/rattanridge/soak/callers.py
+++ b/rattanridge/soak/callers.py
@@ -31,9 +31,9 @@
     :param host: name of the host to which it was sent.
     :param at: when it was sent, in seconds of the event loop's clock.
     :param status: HTTP status of the answer; 0 if there was none.
-    :param ran: whether the request ran according to the answer; empty if unknown.
+    :param ran: what the answer says on whether the request ran; empty if nothing.
     :param code: code that a node gave in its answer; empty if there was none.
-    :param error: class name of the exception that ended it; empty if it was answered.
+    :param error: class name of the exception that ended it; empty if there was none.
     """
 
     id: str
--- a/rattanridge/soak/faults.py
+++ b/rattanridge/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a soak injects, as plug-ins, and the player of a schedule of them.
+"""Faults that a soak injects, as plug-ins, and the injector of a schedule.
 
 Each plug-in injects one fault and returns once it is removed again.
 """
@@ -84,7 +84,7 @@
 async def kill_upstream(
     cluster: processes.Cluster, host: processes.Host, planned: schedule.PlannedFault
 ) -> None:
-    """Kill an upstream and start a new incarnation of it."""
+    """Kill an upstream, then start another one in its place."""
     await kill_and_restart(host.upstream, planned)
 
 
--- a/rattanridge/soak/promises.py
+++ b/rattanridge/soak/promises.py
@@ -13,7 +13,7 @@
 from rattanridge.soak import callers, faults, processes
 
 POLL_INTERVAL = 0.25  # seconds between polls of the nodes
-DRAIN_BOUND = 2.0  # seconds after an acknowledged farewell without new requests
+DRAIN_BOUND = 2.0  # seconds after an acknowledged drain until no new run begins
 TIME_TOLERANCE = 0.1  # seconds, for the times in journals
 PLANNED_STOP = "node-stop"
 NODE_FAULTS = ("node-kill", "node-stop", "node-pause", "node-reload")
@@ -71,7 +71,11 @@
 
 
 def read_journals(cluster: processes.Cluster) -> tuple[list[Run], dict[str, float]]:
-    """Return all runs, and the time of the acknowledged farewell of each endpoint."""
+    """Return all runs, and the time of the farewell of each endpoint.
+
+    A journal's ``farewell`` is the time at which the node acknowledged that the
+    upstream is draining.
+    """
     runs: list[Run] = []
     farewells: dict[str, float] = {}
     for host in cluster.hosts:
@@ -105,7 +109,7 @@
 
 
 def check_at_most_once(runs: list[Run], attempts: list[callers.Attempt]) -> list[str]:
-    """Check that each unsafe attempt and each idempotency key ran at most once."""
+    """Check that each POST attempt and each idempotency key ran at most once."""
     unsafe = {item.id for item in attempts if item.method == "POST"}
     run_counts = collections.Counter(run.attempt for run in runs)
     keys = collections.Counter(run.key for run in runs if run.key)
@@ -116,7 +120,7 @@
             if count > 1
         ),
         *(
-            f"sending {attempt} ran {count} times"
+            f"attempt {attempt} ran {count} times"
             for attempt, count in run_counts.items()
             if count > 1 and attempt in unsafe
         ),
@@ -127,7 +131,7 @@
     """Check that no attempt ran whose answer said that it did not run."""
     ran = {run.attempt for run in runs}
     return [
-        f"sending {item.id} was told not-run ({item.code}) and ran"
+        f"attempt {item.id} was answered not-run ({item.code}) and ran"
         for item in attempts
         if item.ran == "not-run" and item.id in ran
     ]
@@ -136,7 +140,7 @@
 def check_answers(attempts: list[callers.Attempt]) -> list[str]:
     """Check that each successful answer is complete and belongs to its request."""
     return [
-        f"sending {item.id} of {item.path} got the wrong answer {item.body[:80]!r}"
+        f"attempt {item.id} of {item.path} got the wrong answer {item.body[:80]!r}"
         for item in attempts
         if item.status == 200 and f" {item.path} {item.key}".encode() not in item.body
     ]
@@ -145,7 +149,7 @@
 def check_drained(runs: list[Run], farewells: dict[str, float]) -> list[str]:
     """Check that an upstream runs nothing new ``DRAIN_BOUND`` after its farewell."""
     return [
-        f"endpoint {run.endpoint} left and ran sending {run.attempt} "
+        f"endpoint {run.endpoint} left and ran attempt {run.attempt} "
         f"{run.at - farewells[run.endpoint]} s after its farewell was acknowledged"
         for run in runs
         if run.endpoint in farewells
@@ -162,7 +166,7 @@
     """
     stops = [item for item in windows if item.name == PLANNED_STOP]
     return [
-        f"sending {item.id} was cut ({item.error}) by the stop of {item.host}"
+        f"attempt {item.id} was cut ({item.error}) by the stop of {item.host}"
         for item in attempts
         for stop in stops
         if item.error not in ("", NO_CONNECTION)
@@ -178,7 +182,7 @@
 ) -> list[str]:
     """Check that a node without a fault answers within ``callers.ANSWER_TIMEOUT``."""
     return [
-        f"sending {item.id} of {item.path} got no answer from {item.host}"
+        f"attempt {item.id} of {item.path} got no answer from {item.host}"
         for item in attempts
         if item.error == TimeoutError.__name__
         and not any(
--- a/rattanridge/standin/upstream.py
+++ b/rattanridge/standin/upstream.py
@@ -37,7 +37,8 @@
     :param crash_on: crash on a request whose body or path contains this text.
     :param only_prefix: the faults affect only paths with this prefix.
     :param after: seconds after the start from which the faults take effect.
-    :param above: the faults affect requests that meet this many others in progress.
+    :param above: the faults affect only requests that arrive while at least this many
+        others are in progress.
     :param shed: answer 503 with the header that says that the request did not run.
     :param lose: run the request and close the connection without an answer.
     :param cut: end the answer before its body is complete.
@@ -88,7 +89,8 @@
     :param version: name of its version.
     :param slots: requests that it can run at the same time.
     :param work: mean processing time of a request in seconds.
-    :param cold_start: seconds after a start in which ``work`` is added once more.
+    :param cold_start: seconds after the start in which each request takes ``work``
+        seconds more.
     """
 
     service: str
@@ -104,7 +106,8 @@
     :param node: ``host:port`` to which heartbeats are sent; empty: none are sent.
     :param seed: seed of the processing times and errors.
     :param journal: file to which each run is written as it begins, so that the runs
-        of a killed process can be read; empty: no file is written.
+        of a killed process can be read, and the acknowledged drain; empty: no file
+        is written.
     """
 
     def __init__(self, shape: Shape, node: str = "", seed: int = 0, journal: str = ""):
@@ -159,7 +162,7 @@
         self.started = asyncio.get_running_loop().time()
 
     async def stop(self) -> None:
-        """Stop abruptly, as a killed process does."""
+        """Stop abruptly, as if the process had been killed."""
         if self.heartbeat_task is not None:
             self.heartbeat_task.cancel()
         if self.session is not None:
@@ -214,7 +217,7 @@
     async def drain(self) -> int:
         """Report as draining; return the status of the answer, 0 if none.
 
-        The journal records a farewell that the node has acknowledged.
+        If the node acknowledged it, the journal gets the event ``farewell``.
         """
         self.draining = True
         status = await self.send_heartbeat()
@@ -223,13 +226,13 @@
         return status
 
     async def send_farewell(self) -> int:
-        """Deregister from the node; return the status of the answer, 0 if none."""
+        """Send a farewell to the node; return the status of the answer, 0 if none."""
         if self.heartbeat_task is not None:
             self.heartbeat_task.cancel()
         return await self.send_to_node("DELETE")
 
     async def drain_and_stop(self) -> None:
-        """Stop as planned: drain, let running requests finish, deregister, stop."""
+        """Drain, let running requests finish, send a farewell, and stop."""
         if self.node:
             await self.drain()
         loop = asyncio.get_running_loop()
--- a/rattanridge/web/headers.py
+++ b/rattanridge/web/headers.py
@@ -5,7 +5,7 @@
 PREFIX = "rattanridge-"
 CODE = "Rattanridge-Code"
 RAN = "Rattanridge-Ran"
-RECORDED = "Rattanridge-Recorded"  # 1: answer recorded from an earlier sending
+RECORDED = "Rattanridge-Recorded"  # 1: answer recorded for an earlier attempt
 CALL = "Rattanridge-Call"  # between nodes: data of a call for the exit node
 ANSWER = "Rattanridge-Answer"  # between nodes: data of an answer for the entry node
 NODE = "Rattanridge-Node"  # between nodes: name of the sending node
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -50,7 +50,7 @@
 async def exchange(address: str, data: bytes, half_close: bool = False) -> bytes:
     """Send raw bytes to ``host:port``; return the bytes received until it closes.
 
-    Returns empty bytes if the connection breaks.
+    Return empty bytes if the connection breaks.
 
     :param half_close: whether to close the sending side after the data, as a caller
         that breaks off does.
--- a/tests/test_presets.py
+++ b/tests/test_presets.py
@@ -140,7 +140,7 @@
 
     @pytest.mark.parametrize("invalid", [None, b'"text"', b'{"Version":"zz"}'])
     async def test_deleted_or_invalid_configuration(self, invalid):
-        """The generation still rises; nodes ignore one that is not above theirs."""
+        """Guards against: a generation not above that of the nodes, which ignore it."""
         async with presets_on() as (presets, standin):
             await presets.put("day", DAY, "olga")
             await presets.put("peak", PEAK, "olga")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -143,7 +143,7 @@
 
 class TestEarlyReload:
     def test_reload_during_the_start_does_not_end_the_node(self):
-        """SIGHUP arrives before any module of the node is loaded."""
+        """Guards against: SIGHUP ends a node that has not loaded its modules yet."""
         source = """
 import os, runpy, signal, sys
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -200,7 +200,7 @@
 
 class TestFault:
     async def test_a_reload_does_not_end_a_starting_node(self, tmp_path):
-        """SIGHUP ends a process that has not installed its signal handlers yet."""
+        """Guards against: SIGHUP ends a node without signal handlers yet, for good."""
         cluster = processes.Cluster(tmp_path, 1)
         try:
             await cluster.start()
