--- a/rattanridge/mesh/calls.py
+++ b/rattanridge/mesh/calls.py
@@ -18,7 +18,7 @@
 class Call:
     """One request.
 
-    :param attempt: id of this sending of the request.
+    :param attempt: id of this attempt of the caller or upstream.
     :param headers: end-to-end headers, forwarded as they came.
     :param service: service that the request goes to.
     :param route: name of the route that matched.
--- a/rattanridge/mesh/entry.py
+++ b/rattanridge/mesh/entry.py
@@ -1,4 +1,4 @@
-"""Entry: accepts requests of local callers and answers them."""
+"""Entry: accepts requests of callers, and of the local upstream, and answers them."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class Entry:
-    """Serves local callers and the local upstream.
+    """Serves callers and the local upstream.
 
     :param configs: the configuration in force.
     :param dispatcher: sends calls to endpoints.
--- a/rattanridge/mesh/watching.py
+++ b/rattanridge/mesh/watching.py
@@ -14,9 +14,7 @@
 RELIST_INTERVAL = 2.0  # seconds at least between two requests to list all kinds again
 FIRST_RETRY_DELAY = 0.1  # seconds before the first call after a failed one; doubles
 MAX_RETRY_DELAY = 0.9  # seconds
-RELIST_JITTER = (
-    0.15  # seconds over which nodes spread the list calls after a lost watch
-)
+RELIST_JITTER = 0.15  # seconds over which nodes spread lists after a lost watch
 STORM_GAP = 2.0  # seconds; changes that follow each other faster are a storm
 STORM_LIST_INTERVAL = 0.9  # seconds between two lists during a storm
 
